--- a/bench/bench_decisions.cc
+++ b/bench/bench_decisions.cc
@@ -203,7 +203,7 @@
       ConfigChange change;
       change.version = entry.core.configuration().version() + 1;
       change.models.push_back(Declared(n));
-      entry.Handle(entry::ConfigurationLogged{change});
+      entry.Handle(entry::ConfigurationChanged{change});
       entry.now += 1000;
       entry.Handle(entry::Ticked{});
     }
@@ -304,7 +304,7 @@
             ++conflicts;
           }
           due.emplace(now + kServiceMs,
-                      Due{n, entry::GrantSettled{stored.key, is_written, true, stored}});
+                      Due{n, entry::GrantOperationEnded{stored.key, is_written, true, stored}});
         }
       }
     };
@@ -381,7 +381,7 @@
   for (int n = 0; n < 4100; ++n) grants.seen.push_back({Declared(n).Key(), 1});
   handle(inventory);
   handle(agent::FenceDone{true});
-  inventory.asked = 2;
+  inventory.query_id = 2;
   handle(inventory);
   handle(std::move(grants));
   std::printf("| agent tables: 40 replicas, 4,100 tokens seen | %.2f MB | |\n",
@@ -398,7 +398,7 @@
       const std::string id = call.id;
       handle(agent::FrameArrived{1, std::move(call)});
       handle(agent::UpstreamHead{id, 200, "text/event-stream"});
-      handle(agent::UpstreamPiece{id, std::string(150, 'y')});
+      handle(agent::UpstreamChunk{id, std::string(150, 'y')});
       handle(agent::UpstreamEnd{id});
     }
   });
@@ -422,12 +422,12 @@
   constexpr DurationMs kBetweenMs = 180000;
   constexpr DurationMs kThreeDaysMs = 3 * 86400000LL;
   const std::size_t before = HeapBytes();
-  BurnLedger ledger;
+  BurnTracker ledger;
   std::uint64_t calls = 0;
   const double seconds = Seconds([&] {
     for (TimeMs now = kThreeDaysMs; now < 2 * kThreeDaysMs; now += kBetweenMs) {
       for (int n = 0; n < kKeys; ++n) {
-        ledger.Add(now, Declared(n).Key(), JudgeAnswer(Objectives(), 100, false));
+        ledger.Add(now, Declared(n).Key(), ClassifyResponse(Objectives(), 100, false));
         ++calls;
       }
     }
--- a/include/junctionrail/agent_core.h
+++ b/include/junctionrail/agent_core.h
@@ -28,9 +28,9 @@
   std::uint32_t max_concurrent = 16;  // Calls at the upstream, for each key.
   std::uint32_t max_queue_requests = 1024;
   std::uint64_t max_queue_bytes = 64 << 20;
-  std::uint32_t max_loads = 1;         // Load orders in flight.
-  std::uint32_t max_answers = 100000;  // Rows of the at-most-once table.
-  std::uint64_t max_answer_bytes = 32 << 20;
+  std::uint32_t max_loads = 1;                  // Load orders in flight.
+  std::uint32_t max_idempotency_rows = 100000;  // Rows of the at-most-once table.
+  std::uint64_t max_idempotency_bytes = 32 << 20;
   IdlePolicy idle_policy = WeightedCost{};
   // What a load is assumed to take for each GB, by cache tier, until one has been
   // measured. Rather low: a guess too high refuses callers who could be served,
@@ -38,7 +38,7 @@
   DurationMs load_ms_per_gb[3] = {20, 100, 400};
   // How long an order given to an engine that ignores fencing may still take
   // effect after its connection was lost.
-  DurationMs order_lifetime_ms = 2000;
+  DurationMs operation_lifetime_ms = 2000;
   DurationMs inventory_period_ms = 5000;
   DurationMs clock_skew_ms = 5000;   // The most that callers' clocks may be off.
   std::int64_t started_unix_ms = 0;  // Also the first part of fencing tokens.
@@ -55,7 +55,7 @@
 };
 
 // How an order to the engine ended.
-enum class OrderOutcome { kDone, kRefused, kUnknown };
+enum class OperationOutcome { kDone, kRefused, kUnknown };
 
 // One upstream of this agent's service, from the platform's list.
 struct ServicePeer {
@@ -92,10 +92,10 @@
   std::string content_type;
 };
 // The upstream turned a call away and wants nothing more for so long.
-struct UpstreamRests {
-  DurationMs rest_ms = 0;
+struct UpstreamBackoff {
+  DurationMs backoff_ms = 0;
 };
-struct UpstreamPiece {
+struct UpstreamChunk {
   std::string id;
   std::string data;
 };
@@ -107,9 +107,9 @@
   bool was_sent = true;  // False only when not one byte of the call left.
   std::string reason;
 };
-// The engine's answer to AskInventory number `asked`.
+// The engine's answer to QueryInventory number `asked`.
 struct InventoryArrived {
-  std::uint64_t asked = 0;
+  std::uint64_t query_id = 0;
   std::vector<std::uint64_t> accelerators_mb;
   std::vector<EngineModel> models;
 };
@@ -119,14 +119,14 @@
 };
 struct LoadEnded {
   std::string key;
-  std::int64_t order = 0;
-  OrderOutcome outcome = OrderOutcome::kDone;
+  std::int64_t operation_id = 0;
+  OperationOutcome outcome = OperationOutcome::kDone;
   std::string detail;
 };
 struct UnloadEnded {
   std::string key;
-  std::int64_t order = 0;
-  OrderOutcome outcome = OrderOutcome::kDone;
+  std::int64_t operation_id = 0;
+  OperationOutcome outcome = OperationOutcome::kDone;
 };
 // What the key-value service held when this process started.
 struct GrantsRead {
@@ -153,10 +153,10 @@
   std::int64_t unix_ms = 0;
 };
 
-using Event =
-    std::variant<FrameArrived, LinkClosed, UpstreamHead, UpstreamRests, UpstreamPiece, UpstreamEnd,
-                 UpstreamFailed, InventoryArrived, InventoryFailed, FenceDone, LoadEnded,
-                 UnloadEnded, GrantsRead, GrantFreed, PeersChanged, LeaveRequested, Ticked>;
+using Event = std::variant<FrameArrived, LinkClosed, UpstreamHead, UpstreamBackoff, UpstreamChunk,
+                           UpstreamEnd, UpstreamFailed, InventoryArrived, InventoryFailed,
+                           FenceDone, LoadEnded, UnloadEnded, GrantsRead, GrantFreed, PeersChanged,
+                           LeaveRequested, Ticked>;
 
 // Commands.
 struct SendFrame {
@@ -176,23 +176,23 @@
 struct CancelDispatch {
   std::string id;
 };
-struct OrderLoad {
+struct LoadModel {
   std::string key;
   std::string base;
   std::uint32_t accelerator = 0;
   std::uint64_t memory_mb = 0;
-  std::int64_t order = 0;  // Fencing token of this order.
+  std::int64_t operation_id = 0;  // Fencing token of this order.
 };
-struct OrderUnload {
+struct UnloadModel {
   std::string key;
-  std::int64_t order = 0;
+  std::int64_t operation_id = 0;
 };
-struct AskInventory {
-  std::uint64_t asked = 0;
+struct QueryInventory {
+  std::uint64_t query_id = 0;
 };
 // Makes a fencing engine refuse every older order.
 struct FenceEngine {
-  std::int64_t order = 0;
+  std::int64_t operation_id = 0;
 };
 struct FreeGrant {
   std::string key;
@@ -203,8 +203,8 @@
 // Nothing is left to finish; the process may exit.
 struct Exit {};
 
-using Command = std::variant<SendFrame, Dispatch, CancelDispatch, OrderLoad, OrderUnload,
-                             AskInventory, FenceEngine, FreeGrant, ReadGrants, Exit>;
+using Command = std::variant<SendFrame, Dispatch, CancelDispatch, LoadModel, UnloadModel,
+                             QueryInventory, FenceEngine, FreeGrant, ReadGrants, Exit>;
 
 }  // namespace agent
 
@@ -217,15 +217,15 @@
   std::uint64_t failed = 0;
   std::uint64_t cancelled = 0;
   std::uint64_t dispatched = 0;
-  std::uint64_t loads_ordered = 0;
-  std::uint64_t loads_done = 0;
+  std::uint64_t loads_started = 0;
+  std::uint64_t loads_completed = 0;
   std::uint64_t loads_failed = 0;
   std::uint64_t loads_unknown = 0;
-  std::uint64_t unloads_done = 0;
+  std::uint64_t unloads_completed = 0;
   std::uint64_t unloads_idle = 0;
   std::uint64_t unloads_pressure = 0;
-  std::uint64_t inventory_surprises = 0;
-  std::uint64_t repeats_answered = 0;
+  std::uint64_t inventory_mismatches = 0;
+  std::uint64_t responses_replayed = 0;
   std::uint64_t refused_by_code[static_cast<std::size_t>(RefusalCode::kCount)] = {};
 };
 
@@ -256,7 +256,7 @@
 
   const AgentCounters& counters() const;
   const DecisionLog& decisions() const;
-  std::size_t present() const;
+  std::size_t open_requests() const;
   bool IsReady() const;  // Whether it may give orders and admit calls.
   bool IsLeaving() const;
   std::vector<ReplicaStatus> Replicas() const;
--- a/include/junctionrail/burn.h
+++ b/include/junctionrail/burn.h
@@ -18,23 +18,23 @@
 // What became of a call, as far as its objectives care. Each call is exactly
 // one of these.
 enum class BurnCause : std::uint8_t {
-  kGood,      // Answered, the first token in time.
-  kSlowCold,  // Answered late, having waited for a load.
-  kSlowWarm,  // Answered late by a loaded replica.
-  kCold,      // Refused: a load would be, or was, too late.
-  kQueue,     // Refused: the queue.
-  kCapacity,  // Refused: no replica, no memory, no slot.
-  kUpstream,  // Failed at the upstream or on the way.
-  kOther,     // Refused for any other reason.
+  kGood,         // Answered, the first token in time.
+  kSlowCold,     // Answered late, having waited for a load.
+  kSlowWarm,     // Answered late by a loaded replica.
+  kRefusedCold,  // Refused: a load would be, or was, too late.
+  kQueue,        // Refused: the queue.
+  kCapacity,     // Refused: no replica, no memory, no slot.
+  kUpstream,     // Failed at the upstream or on the way.
+  kOther,        // Refused for any other reason.
   kCount,
 };
-constexpr std::size_t kBurnCauses = static_cast<std::size_t>(BurnCause::kCount);
+constexpr std::size_t kBurnCauseCount = static_cast<std::size_t>(BurnCause::kCount);
 std::string_view BurnCauseName(BurnCause cause);
 
 // Counts of one window of one key. They add up across entries without error,
 // since each call is judged when it ends.
 struct BurnCounts {
-  std::array<std::uint64_t, kBurnCauses> by_cause = {};
+  std::array<std::uint64_t, kBurnCauseCount> by_cause = {};
   std::uint64_t cold_starts = 0;       // Calls that waited for a load.
   std::uint64_t cold_starts_late = 0;  // Of those, past the cold-start objective.
 
@@ -61,13 +61,13 @@
   double cold_start = 0;   // Judged against the first token's share.
   double budget_left = 1;  // Of first token's, over this window; below 0 when overdrawn.
 };
-BurnRates RatesOf(const BurnCounts& counts, const Objectives& objectives);
+BurnRates ComputeBurnRates(const BurnCounts& counts, const Objectives& objectives);
 
-// Counts the calls of one process. Keys beyond `most_keys` are counted
+// Counts the calls of one process. Keys beyond `max_keys` are counted
 // together under "(others)".
-class BurnLedger {
+class BurnTracker {
  public:
-  explicit BurnLedger(std::size_t most_keys = 5000) : most_keys_(most_keys) {}
+  explicit BurnTracker(std::size_t max_keys = 5000) : max_keys_(max_keys) {}
 
   void Add(TimeMs now, std::string_view key, const BurnCounts& one);
 
@@ -82,7 +82,7 @@
   // One bucket of a window, in half the space of BurnCounts.
   struct Bucket {
     std::int64_t number = 0;
-    std::array<std::uint32_t, kBurnCauses> by_cause = {};
+    std::array<std::uint32_t, kBurnCauseCount> by_cause = {};
     std::uint32_t cold_starts = 0;
     std::uint32_t cold_starts_late = 0;
 
@@ -93,12 +93,12 @@
   using Series = std::array<Buckets, kBurnWindows.size()>;
 
   std::map<std::string, Series, std::less<>> keys_;
-  std::size_t most_keys_;
+  std::size_t max_keys_;
 };
 
-// Judges one call by its objectives. `first_ms` is the time to the first byte.
-BurnCounts JudgeAnswer(const Objectives& objectives, DurationMs first_ms, bool was_cold);
-BurnCounts JudgeFailure(std::string_view refusal_name);
+// Judges one call by its objectives. `first_byte_ms` is the time to the first byte.
+BurnCounts ClassifyResponse(const Objectives& objectives, DurationMs first_byte_ms, bool was_cold);
+BurnCounts ClassifyFailure(std::string_view refusal_name);
 
 }  // namespace junctionrail
 
--- a/include/junctionrail/decision_log.h
+++ b/include/junctionrail/decision_log.h
@@ -25,7 +25,7 @@
   std::string request;
   std::string key;
   std::string vm;
-  std::string sentence;
+  std::string message;
   std::string inputs;  // `name=value` pairs, for people.
   std::vector<RejectedCandidate> rejected;
   std::uint64_t config_version = 0;
@@ -40,7 +40,7 @@
 
   // Records whose request, key or VM is `subject`, oldest first. A request's
   // attempts are named `<request>.<n>` and match the request too.
-  std::vector<DecisionRecord> About(std::string_view subject) const;
+  std::vector<DecisionRecord> RecordsAbout(std::string_view subject) const;
 
   // How many records the ring has lost; an answer that finds nothing must say
   // that the record may have been among them.
--- a/include/junctionrail/entry_core.h
+++ b/include/junctionrail/entry_core.h
@@ -23,21 +23,22 @@
   std::string vm;
   std::string data_hall;
   std::uint64_t seed = 1;
-  double retry_share = 0.2;   // Retries for each first attempt.
-  double retry_reserve = 20;  // Most retries saved up.
-  std::uint32_t most_attempts = 4;
-  DurationMs turn_ms = 10;         // Head start of the first entry to place a key.
-  DurationMs turn_spread_ms = 40;  // Most that the others' turns are spread over.
-  DurationMs ask_ms = 100;         // An offer later than this is not waited for.
-  std::uint32_t ask_wave = 6;      // Upstreams asked at a time.
-  std::uint32_t most_waves = 4;
-  DurationMs free_wait_ms = 1000;   // Waiting for a slot that is being given back.
-  DurationMs answer_grace_ms = 50;  // For the agent's own word at the deadline.
-  DurationMs queue_scale_ms = 500;  // A queue longer than this asks for one more replica.
-  std::uint32_t eject_after = 3;    // Failures in a row.
-  DurationMs eject_ms = 1000;       // First ejection; doubles.
-  DurationMs eject_most_ms = 60000;
-  std::uint64_t most_buffered = 4 << 20;  // Bytes of a whole answer held before it is passed on.
+  double retry_ratio = 0.2;  // Retries for each first attempt.
+  double retry_burst = 20;   // Most retries saved up.
+  std::uint32_t max_attempts = 4;
+  DurationMs placement_delay_ms = 10;   // Head start of the first entry to place a key.
+  DurationMs placement_jitter_ms = 40;  // Most that the others' turns are spread over.
+  DurationMs offer_timeout_ms = 100;    // An offer later than this is not waited for.
+  std::uint32_t offer_batch_size = 6;   // Upstreams asked at a time.
+  std::uint32_t max_offer_batches = 4;
+  DurationMs slot_release_wait_ms = 1000;  // Waiting for a slot that is being given back.
+  DurationMs refusal_grace_ms = 50;        // For the agent's own word at the deadline.
+  DurationMs scale_up_wait_ms = 500;       // A queue longer than this asks for one more replica.
+  std::uint32_t ejection_threshold = 3;    // Failures in a row.
+  DurationMs base_ejection_ms = 1000;      // First ejection; doubles.
+  DurationMs max_ejection_ms = 60000;
+  std::uint64_t max_buffered_bytes = 4
+                                     << 20;  // Bytes of a whole answer held before it is passed on.
   std::size_t decision_records = 8192;
 };
 
@@ -58,7 +59,7 @@
   bool is_stream = false;
   std::string idempotency_key;
 };
-struct CallerGone {
+struct CallerDisconnected {
   std::string id;
 };
 struct FrameArrived {
@@ -73,7 +74,7 @@
 struct ConfigurationRead {
   Configuration configuration;
 };
-struct ConfigurationLogged {
+struct ConfigurationChanged {
   ConfigChange change;
 };
 struct GrantChanged {
@@ -81,7 +82,7 @@
 };
 // The end of a WriteGrant or ReadGrant. Without a record the service did not
 // answer, and a write may or may not have taken effect.
-struct GrantSettled {
+struct GrantOperationEnded {
   std::string key;
   bool is_written = false;
   bool is_known = false;
@@ -93,41 +94,41 @@
 struct StopRequested {};
 struct Ticked {};
 
-using Event = std::variant<CallArrived, CallerGone, FrameArrived, LinkClosed, ConfigurationRead,
-                           ConfigurationLogged, GrantChanged, GrantSettled, VmsChanged,
-                           StopRequested, Ticked>;
+using Event = std::variant<CallArrived, CallerDisconnected, FrameArrived, LinkClosed,
+                           ConfigurationRead, ConfigurationChanged, GrantChanged,
+                           GrantOperationEnded, VmsChanged, StopRequested, Ticked>;
 
 // Commands.
 struct SendFrame {
   std::string vm;
   Frame frame;
 };
-struct AnswerHead {
+struct SendResponseHead {
   std::string id;
   std::uint32_t status = 0;
   std::string content_type;
 };
-struct AnswerPiece {
+struct SendResponseChunk {
   std::string id;
   std::string data;
 };
-struct AnswerEnd {
+struct EndResponse {
   std::string id;
 };
 // The whole answer at once.
-struct AnswerWhole {
+struct SendResponse {
   std::string id;
   std::uint32_t status = 0;
   std::string content_type;
   std::string body;
 };
 // A refusal before the head went out.
-struct AnswerRefusal {
+struct SendRefusal {
   std::string id;
   Refusal refusal;
 };
 // A failure after it: the caller must see that the answer is not whole.
-struct AnswerBroken {
+struct AbortResponse {
   std::string id;
   Refusal refusal;
 };
@@ -145,13 +146,14 @@
 struct CallEnded {
   std::string key;
   bool is_answered = false;
-  DurationMs first_ms = 0;  // Until the upstream began to answer.
-  bool was_cold = false;    // It waited for a load.
+  DurationMs first_byte_ms = 0;  // Until the upstream began to answer.
+  bool was_cold = false;         // It waited for a load.
   RefusalCode code = RefusalCode::kNoUpstream;
 };
 
-using Command = std::variant<CallEnded, SendFrame, AnswerHead, AnswerPiece, AnswerEnd, AnswerWhole,
-                             AnswerRefusal, AnswerBroken, WriteGrant, ReadGrant, ReadConfiguration>;
+using Command = std::variant<CallEnded, SendFrame, SendResponseHead, SendResponseChunk, EndResponse,
+                             SendResponse, SendRefusal, AbortResponse, WriteGrant, ReadGrant,
+                             ReadConfiguration>;
 
 }  // namespace entry
 
@@ -180,7 +182,7 @@
 struct UpstreamStatus {
   VmInfo vm;
   bool is_ejected = false;
-  bool says_leaving = false;
+  bool reported_leaving = false;
   std::uint32_t in_flight = 0;
 };
 
@@ -201,7 +203,7 @@
   const DecisionLog& decisions() const;
   const Configuration& configuration() const;
   const VmList& vms() const;
-  std::size_t present() const;
+  std::size_t open_calls() const;
   bool IsStopping() const;
   std::uint32_t InFlight(std::string_view vm) const;  // Attempts at one upstream.
   std::vector<UpstreamStatus> Upstreams(TimeMs now) const;
--- a/include/junctionrail/idle_policy.h
+++ b/include/junctionrail/idle_policy.h
@@ -28,7 +28,7 @@
 
 using IdlePolicy = std::variant<KeepForever, FixedTtl, WeightedCost>;
 
-// The idle gaps one replica has seen: the newest kMostGaps of them.
+// The idle gaps one replica has seen: the newest kMaxGaps of them.
 class ArrivalHistory {
  public:
   // Records that the replica had been idle for `gap` when a call came.
@@ -36,7 +36,7 @@
   const std::vector<DurationMs>& gaps() const { return gaps_; }
 
  private:
-  static constexpr std::size_t kMostGaps = 64;
+  static constexpr std::size_t kMaxGaps = 64;
   std::vector<DurationMs> gaps_;
   std::size_t next_ = 0;
 };
--- a/src/base/telemetry.cc
+++ b/src/base/telemetry.cc
@@ -168,20 +168,20 @@
 void AddCounters(const AgentCounters& c, MetricsPage* page) {
   AddOutcomes(c, page);
   page->Counter("junctionrail_dispatched_total", "Calls sent to the upstream.", c.dispatched);
-  page->Counter("junctionrail_loads_ordered_total", "Loads ordered.", c.loads_ordered);
+  page->Counter("junctionrail_loads_ordered_total", "Loads ordered.", c.loads_started);
   constexpr std::string_view kLoads = "junctionrail_loads_total";
   constexpr std::string_view kLoadsHelp = "Loads by how they ended.";
-  page->Counter(kLoads, kLoadsHelp, c.loads_done, {{"outcome", "done"}});
+  page->Counter(kLoads, kLoadsHelp, c.loads_completed, {{"outcome", "done"}});
   page->Counter(kLoads, kLoadsHelp, c.loads_failed, {{"outcome", "failed"}});
   page->Counter(kLoads, kLoadsHelp, c.loads_unknown, {{"outcome", "unknown"}});
-  page->Counter("junctionrail_unloads_total", "Unloads confirmed.", c.unloads_done);
+  page->Counter("junctionrail_unloads_total", "Unloads confirmed.", c.unloads_completed);
   page->Counter("junctionrail_unloads_idle_total", "Unloads ordered for idleness.", c.unloads_idle);
   page->Counter("junctionrail_unloads_pressure_total", "Unloads ordered to make room.",
                 c.unloads_pressure);
   page->Counter("junctionrail_inventory_surprises_total",
-                "Times the engine held other than the ledger said.", c.inventory_surprises);
+                "Times the engine held other than the ledger said.", c.inventory_mismatches);
   page->Counter("junctionrail_repeats_answered_total",
-                "Repeats answered from the at-most-once table.", c.repeats_answered);
+                "Repeats answered from the at-most-once table.", c.responses_replayed);
 }
 
 ProcessUse MeasureProcess() {
--- a/src/core/agent_grants.cc
+++ b/src/core/agent_grants.cc
@@ -9,8 +9,8 @@
 namespace {
 
 constexpr DurationMs kShortRetryMs = 200;
-constexpr DurationMs kReadRetryMs = 1000;
-constexpr DurationMs kAskTimeoutMs = 5000;
+constexpr DurationMs kGrantsReadRetryMs = 1000;
+constexpr DurationMs kInventoryTimeoutMs = 5000;
 
 }  // namespace
 
@@ -20,7 +20,7 @@
 // process started, and above every one it gave back, was written since, and
 // only this process or the loss of the VM could have taken it back.
 bool AgentImpl::AcceptGrant(const GrantView& grant) {
-  Replica& replica = ReplicaOf(grant.key);
+  Replica& replica = FindOrAddReplica(grant.key);
   replica.base = grant.base;
   replica.memory_mb = grant.memory_mb;
   if (replica.grant == GrantState::kHeld) {
@@ -35,18 +35,18 @@
   replica.grant = GrantState::kHeld;
   replica.slot = grant.slot;
   replica.token = grant.token;
-  Note({}, grant.key, "holds slot " + std::to_string(grant.slot) + " by a new grant",
-       "token=" + std::to_string(grant.token));
+  RecordDecision({}, grant.key, "holds slot " + std::to_string(grant.slot) + " by a new grant",
+                 "token=" + std::to_string(grant.token));
   return true;
 }
 
 void AgentImpl::On(agent::GrantsRead event) {
   if (grants_known_) return;
   grants_known_ = true;
-  reconsider_ = true;
+  needs_reevaluation_ = true;
   for (const auto& it : event.seen) seen_tokens_[it.key] = it.token;
   for (const auto& it : event.held) {
-    Replica& replica = ReplicaOf(it.key);
+    Replica& replica = FindOrAddReplica(it.key);
     replica.grant = GrantState::kHeld;
     replica.slot = it.slot;
     replica.token = it.token;
@@ -56,14 +56,15 @@
 void AgentImpl::Retire(Replica& replica, std::string_view reason) {
   if (replica.grant != GrantState::kHeld) return;
   replica.grant = GrantState::kRetiring;
-  replica.is_wanted = false;
-  Note({}, replica.key, "gives its slot back: " + std::string(reason),
-       "slot=" + std::to_string(replica.slot) + " token=" + std::to_string(replica.token));
+  replica.is_load_requested = false;
+  RecordDecision(
+      {}, replica.key, "gives its slot back: " + std::string(reason),
+      "slot=" + std::to_string(replica.slot) + " token=" + std::to_string(replica.token));
   for (auto& [key, it] : replicas_) {
     if (it.base == replica.key) Retire(it, "its base gives its slot back");
   }
-  RefuseQueued(replica, Refusal{RefusalCode::kNotGranted, "this upstream gives its slot back",
-                                Ran::kNo, kShortRetryMs});
+  RefuseAllQueued(replica, Refusal{RefusalCode::kNotGranted, "this upstream gives its slot back",
+                                   Ran::kNo, kShortRetryMs});
   ContinueRetiring(replica);
 }
 
@@ -78,11 +79,12 @@
   if (replica.grant != GrantState::kRetiring) return;
   // Before the engine has said what it holds, and while an order of an earlier
   // process may still land there, nothing is known to be absent.
-  if (!engine_known_ || !engine_fenced_) return;
-  const bool is_quiet = replica.running == 0 && replica.order == 0 && !replica.is_unknown;
+  if (!inventory_known_ || !engine_fenced_) return;
+  const bool is_quiet =
+      replica.running == 0 && replica.operation_id == 0 && !replica.is_outcome_unknown;
   if (!is_quiet) return;
   if (replica.state == ReplicaState::kLoaded) {
-    if (!HasAdapter(replica.key)) BeginUnload(replica, "its slot is given back");
+    if (!HasAdapter(replica.key)) StartUnload(replica, "its slot is given back");
     return;
   }
   if (replica.state != ReplicaState::kAbsent) return;
@@ -95,7 +97,7 @@
   const auto it = replicas_.find(event.key);
   if (it == replicas_.end()) return;
   Replica& replica = it->second;
-  reconsider_ = true;
+  needs_reevaluation_ = true;
   replica.released_token = std::max(replica.released_token, event.token);
   if (replica.grant != GrantState::kFreeing || replica.token != event.token) return;
   // While the service cannot confirm, the slot still counts; it is asked again.
@@ -108,12 +110,12 @@
   const bool is_first = !leaving_;
   leaving_ = true;
   vm_leaves_ = vm_leaves_ || event.vm_leaves;
-  reconsider_ = true;
+  needs_reevaluation_ = true;
   if (!is_first) return;
-  Note({}, {}, "leaving: " + event.reason);
+  RecordDecision({}, {}, "leaving: " + event.reason);
   for (auto& [key, it] : replicas_) {
-    it.is_wanted = false;
-    RefuseQueued(
+    it.is_load_requested = false;
+    RefuseAllQueued(
         it, Refusal{RefusalCode::kLeaving, "this upstream is leaving", Ran::kNo, kShortRetryMs});
   }
 }
@@ -136,25 +138,25 @@
 
 void AgentImpl::On(agent::Ticked event) {
   unix_ms_ = event.unix_ms;
-  reconsider_ = true;
+  needs_reevaluation_ = true;
   ExpireRequests();
-  for (auto& [key, it] : replicas_) RefuseHopeless(it);
-  const bool is_rest_over = rest_until_ != 0 && rest_until_ <= now_;
-  if (is_rest_over) {
-    rest_until_ = 0;
-    for (auto& [key, it] : replicas_) PumpQueue(it);
+  for (auto& [key, it] : replicas_) RefuseLateQueued(it);
+  const bool is_backoff_over = backoff_until_ != 0 && backoff_until_ <= now_;
+  if (is_backoff_over) {
+    backoff_until_ = 0;
+    for (auto& [key, it] : replicas_) DispatchQueued(it);
   }
-  answers_.DropExpired(now_);
+  idempotency_table_.EraseExpired(now_);
   if (options_.kind == UpstreamKind::kService) return;
   UnloadIdle();
   for (auto& [key, it] : replicas_) ContinueRetiring(it);
-  if (!grants_known_ && now_ >= next_read_at_) {
-    next_read_at_ = now_ + kReadRetryMs;
+  if (!grants_known_ && now_ >= next_grants_read_at_) {
+    next_grants_read_at_ = now_ + kGrantsReadRetryMs;
     Emit(agent::ReadGrants{});
   }
   // An answer that never comes must not stop the asking.
-  if (ask_in_flight_ && now_ >= asked_at_ + kAskTimeoutMs) ask_in_flight_ = false;
-  if (now_ >= next_ask_at_) AskEngine();
+  if (query_in_flight_ && now_ >= queried_at_ + kInventoryTimeoutMs) query_in_flight_ = false;
+  if (now_ >= next_query_at_) QueryEngine();
 }
 
 // ---- Asked by an entry that places -----------------------------------------
@@ -174,8 +176,9 @@
   offer.tier = TierOf(ask.key);
   const auto base = replicas_.find(ask.base);
   offer.holds_base = base != replicas_.end() && base->second.grant == GrantState::kHeld;
-  offer.fits = MayOrder() && (ledger_.Holds(ask.key) || CouldFit(ask.memory_mb, ask.base));
-  offer.load_ms = UntilReady(asked);
+  offer.fits =
+      CanStartOperations() && (ledger_.Holds(ask.key) || CouldFit(ask.memory_mb, ask.base));
+  offer.load_ms = TimeUntilReady(asked);
   Send(link, std::move(offer));
 }
 
--- a/src/core/agent_impl.h
+++ b/src/core/agent_impl.h
@@ -14,7 +14,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "answer_table.h"
+#include "idempotency_table.h"
 #include "junctionrail/agent_core.h"
 #include "memory_ledger.h"
 
@@ -31,20 +31,20 @@
   TimeMs deadline_at = 0;
   TimeMs dispatched_at = 0;
   std::uint64_t next_sequence = 0;
-  bool was_cold = false;   // Its replica was not loaded when it came.
-  std::string answer_key;  // Row of the at-most-once table; empty when unkeyed.
+  bool was_cold = false;            // Its replica was not loaded when it came.
+  std::string idempotency_row_key;  // Row of the at-most-once table; empty when unkeyed.
   // Set when nobody waits any more but the call may not be cut off: it runs on,
   // and at its end counts as this.
-  std::uint64_t AgentCounters::*gone_as = nullptr;
+  std::uint64_t AgentCounters::*abandoned_counter = nullptr;
 };
 
 // Orders the queue of one key: class, then deadline, then arrival.
-struct QueuePlace {
+struct QueuePosition {
   Priority priority = Priority::kNormal;
   TimeMs deadline_at = 0;
   std::string id;
 
-  bool operator<(const QueuePlace& other) const;
+  bool operator<(const QueuePosition& other) const;
 };
 
 enum class GrantState { kNone, kHeld, kRetiring, kFreeing };
@@ -60,18 +60,18 @@
   std::int64_t released_token = 0;  // Never accept this grant or an older one.
 
   ReplicaState state = ReplicaState::kAbsent;
-  std::int64_t order = 0;   // Of the order in flight; 0 when none is.
-  bool is_unknown = false;  // The last order's outcome is not known.
-  TimeMs unknown_since = 0;
-  bool is_wanted = false;  // A call asked for it and it is not loaded yet.
-  TimeMs order_at = 0;
+  std::int64_t operation_id = 0;    // Of the order in flight; 0 when none is.
+  bool is_outcome_unknown = false;  // The last order's outcome is not known.
+  TimeMs outcome_unknown_since = 0;
+  bool is_load_requested = false;  // A call asked for it and it is not loaded yet.
+  TimeMs operation_started_at = 0;
   DurationMs expected_load_ms = 0;
   CacheTier load_tier = CacheTier::kRemote;  // Of the load under way.
   DurationMs measured_load_ms = 0;           // Of the last load; 0 before the first.
-  std::uint64_t stale_asks = 0;              // Inventories up to this number are too old for it.
+  std::uint64_t last_stale_query = 0;        // Inventories up to this number are too old for it.
   CacheTier tier = CacheTier::kRemote;
 
-  std::set<QueuePlace> queue;
+  std::set<QueuePosition> queue;
   std::uint32_t running = 0;
   TimeMs idle_since = 0;    // Start of the present idleness while loaded.
   TimeMs last_work_at = 0;  // End of the last call; 0 before the first.
@@ -91,7 +91,7 @@
 
   const AgentCounters& counters() const { return counters_; }
   const DecisionLog& decisions() const { return decisions_; }
-  std::size_t present() const { return requests_.size(); }
+  std::size_t open_requests() const { return requests_.size(); }
   bool IsReady() const;
   bool IsLeaving() const { return leaving_; }
   std::vector<ReplicaStatus> Replicas() const;
@@ -101,8 +101,8 @@
   void On(agent::FrameArrived event);
   void On(agent::LinkClosed event);
   void On(agent::UpstreamHead event);
-  void On(agent::UpstreamRests event);
-  void On(agent::UpstreamPiece event);
+  void On(agent::UpstreamBackoff event);
+  void On(agent::UpstreamChunk event);
   void On(agent::UpstreamEnd event);
   void On(agent::UpstreamFailed event);
   void OnFrame(LinkId link, CallFrame call);
@@ -111,29 +111,29 @@
   void OnFrame(LinkId link, const RetireFrame& retire);
   void OnFrame(LinkId link, const WhyFrame& why);
   void OnFrame(LinkId link, const DrainFrame& drain);
-  template <class Other>
-  void OnFrame(LinkId, const Other&) {}  // Frames only an agent sends, and hello.
+  template <class OtherFrame>
+  void OnFrame(LinkId, const OtherFrame&) {}  // Frames only an agent sends, and hello.
   std::optional<Refusal> Admit(AgentRequest& request);
   std::optional<Refusal> AdmitToEngine(AgentRequest& request);
-  std::optional<Refusal> QueueRefusal(const AgentRequest& request, const Replica& replica);
+  std::optional<Refusal> CheckQueue(const AgentRequest& request, const Replica& replica);
   void Enqueue(AgentRequest request);
   void CancelRequest(const std::string& id);
-  void PumpQueue(Replica& replica);
-  void SendToUpstream(AgentRequest& request, Replica& replica);
+  void DispatchQueued(Replica& replica);
+  void DispatchRequest(AgentRequest& request, Replica& replica);
   void Refuse(const AgentRequest& request, const Refusal& refusal);
-  void Remove(const std::string& id);
-  void LeaveQueue(const AgentRequest& request, Replica& replica);
-  void RefuseWaiting(const std::string& id, const Refusal& refusal);
-  void StopWaiting(AgentRequest& request, std::uint64_t AgentCounters::*counter);
-  void NoteArrival(Replica& replica);
-  void RefuseQueued(Replica& replica, const Refusal& refusal);
-  void Finished(AgentRequest& request);
+  void EraseRequest(const std::string& id);
+  void RemoveFromQueue(const AgentRequest& request, Replica& replica);
+  void RefuseQueuedRequest(const std::string& id, const Refusal& refusal);
+  void AbandonRequest(AgentRequest& request, std::uint64_t AgentCounters::*counter);
+  void RecordArrival(Replica& replica);
+  void RefuseAllQueued(Replica& replica, const Refusal& refusal);
+  void FinishDispatch(AgentRequest& request);
   void ExpireRequests();
   void CheckConservation() const;
-  UpstreamReport ReportOn(const std::string& key) const;
+  UpstreamReport BuildReport(const std::string& key) const;
   DurationMs QueueWait(const Replica& replica, Priority priority, TimeMs deadline) const;
-  DurationMs WaitBehind(const Replica& replica, std::size_t ahead) const;
-  void RefuseHopeless(Replica& replica);
+  DurationMs QueueWaitBehind(const Replica& replica, std::size_t ahead) const;
+  void RefuseLateQueued(Replica& replica);
 
   // agent_replicas.cc
   void On(agent::InventoryArrived event);
@@ -145,91 +145,92 @@
   void On(agent::GrantFreed event);
   void On(agent::LeaveRequested event);
   void On(agent::Ticked event);
-  Replica& ReplicaOf(const std::string& key);
+  Replica& FindOrAddReplica(const std::string& key);
   bool AcceptGrant(const GrantView& grant);
-  void ReconcileReplica(Replica& replica, const EngineModel* found, std::uint64_t asked);
-  void BeginLoads();
-  void BeginLoad(Replica& replica);
-  bool MakeRoom(const Replica& wanted);
-  void GiveUpLoad(Replica& replica, const Refusal& refusal);
+  void ReconcileReplica(Replica& replica, const EngineModel* found, std::uint64_t query_id);
+  void StartLoads();
+  void StartLoad(Replica& replica);
+  bool EvictToFit(const Replica& wanted);
+  void AbandonLoad(Replica& replica, const Refusal& refusal);
   bool IsIdle(const Replica& replica) const;
   bool IsEvictable(const Replica& replica) const;
   bool HasAdapter(const std::string& key) const;
-  std::uint64_t RoomOn(std::uint32_t accelerator) const;
+  std::uint64_t AvailableOn(std::uint32_t accelerator) const;
   void Evict(Replica& replica);
-  void BecomeIdle(Replica& replica);
-  void BecomeAbsent(Replica& replica);
-  void BecomeUnknown(Replica& replica);
-  void BeginUnload(Replica& replica, std::string_view reason);
+  void MarkIdle(Replica& replica);
+  void MarkAbsent(Replica& replica);
+  void MarkOutcomeUnknown(Replica& replica);
+  void StartUnload(Replica& replica, std::string_view reason);
   void UnloadIdle();
-  bool IsSettled(const Replica& replica) const;
+  bool IsOperationExpired(const Replica& replica) const;
   void Retire(Replica& replica, std::string_view reason);
   void ContinueRetiring(Replica& replica);
   void ContinueLeaving();
-  bool MayOrder() const;
+  bool CanStartOperations() const;
   bool CouldFit(const Replica& replica) const;
   bool CouldFit(std::uint64_t memory_mb, const std::string& base) const;
   CacheTier TierOf(std::string_view key) const;
-  void LearnLoadRate(const Replica& replica, DurationMs took);
+  void UpdateLoadRate(const Replica& replica, DurationMs took);
   DurationMs ExpectedLoad(const Replica& replica) const;
   DurationMs RemainingLoad(const Replica& replica) const;
-  DurationMs UntilReady(const Replica& replica, const QueuePlace& place) const;
-  DurationMs UntilReady(const Replica& replica) const;
-  static QueuePlace PlaceOf(const AgentRequest& request);
-  static QueuePlace PlaceAt(const Replica& replica, const AgentRequest& request);
+  DurationMs TimeUntilReady(const Replica& replica, const QueuePosition& position) const;
+  DurationMs TimeUntilReady(const Replica& replica) const;
+  static QueuePosition PositionOf(const AgentRequest& request);
+  static QueuePosition LoadPosition(const Replica& replica, const AgentRequest& request);
   std::uint32_t LoadsInFlight() const;
-  std::int64_t NextOrder();
-  void AskEngine();
-  static QueuePlace MostUrgent(const Replica& replica);
-  void SettleFence(std::uint64_t asked);
+  std::int64_t NextOperationId();
+  void QueryEngine();
+  static QueuePosition MostUrgent(const Replica& replica);
+  void UpdateFence(std::uint64_t query_id);
 
   // agent_once.cc
   void On(agent::PeersChanged event);
-  std::optional<Refusal> AdmitKeyed(AgentRequest& request, bool* replayed);
-  std::optional<Refusal> HomeRefusal(const CallFrame& call) const;
-  void Replay(const AgentRequest& request, const StoredAnswer& row);
-  void KeepHead(const AgentRequest& request, const agent::UpstreamHead& head);
-  void KeepPiece(const AgentRequest& request, std::string_view data);
-  void SettleRow(const AgentRequest& request, AnswerState state);
+  std::optional<Refusal> AdmitWithIdempotencyKey(AgentRequest& request, bool* replayed);
+  std::optional<Refusal> CheckKeyOwner(const CallFrame& call) const;
+  void Replay(const AgentRequest& request, const IdempotencyRow& row);
+  void StoreHead(const AgentRequest& request, const agent::UpstreamHead& head);
+  void StoreChunk(const AgentRequest& request, std::string_view data);
+  void FinishRow(const AgentRequest& request, IdempotencyState state);
 
   void Send(LinkId link, Frame frame);
   template <class C>
   void Emit(C command) {
-    out_->emplace_back(std::move(command));
+    commands_->emplace_back(std::move(command));
   }
-  void Note(std::string request, std::string key, std::string sentence, std::string inputs = {});
+  void RecordDecision(std::string request, std::string key, std::string message,
+                      std::string inputs = {});
 
   AgentOptions options_;
   AgentCounters counters_;
   DecisionLog decisions_;
-  AnswerTable answers_;
+  IdempotencyTable idempotency_table_;
   MemoryLedger ledger_;
   std::unordered_map<std::string, AgentRequest> requests_;
   std::map<std::string, Replica, std::less<>> replicas_;
   std::map<std::string, std::int64_t, std::less<>> seen_tokens_;
   std::map<std::string, CacheTier, std::less<>> tiers_;
-  TimeMs rest_until_ = 0;                           // The upstream wants no calls until then.
+  TimeMs backoff_until_ = 0;                        // The upstream wants no calls until then.
   double load_ms_per_gb_[3];                        // By tier: assumed at first, then measured.
   std::map<std::string, std::int64_t> lost_peers_;  // VM to the Unix time it left the list.
   std::set<ServicePeer> peers_;
-  std::vector<agent::Command>* out_ = nullptr;
+  std::vector<agent::Command>* commands_ = nullptr;
   TimeMs now_ = 0;
   TimeMs started_at_ = 0;
   std::int64_t unix_ms_ = 0;
   std::uint64_t queued_bytes_ = 0;
   std::uint32_t queued_ = 0;
-  std::int64_t orders_ = 0;
-  std::uint64_t asks_ = 0;
-  bool ask_in_flight_ = false;
-  TimeMs asked_at_ = 0;
-  bool reconsider_ = false;  // Something changed that loads or leaving depend on.
-  TimeMs next_ask_at_ = 0;
-  TimeMs next_read_at_ = 0;
-  bool engine_known_ = false;  // An inventory has been taken since the start.
+  std::int64_t operations_ = 0;
+  std::uint64_t inventory_queries_ = 0;
+  bool query_in_flight_ = false;
+  TimeMs queried_at_ = 0;
+  bool needs_reevaluation_ = false;  // Something changed that loads or leaving depend on.
+  TimeMs next_query_at_ = 0;
+  TimeMs next_grants_read_at_ = 0;
+  bool inventory_known_ = false;  // An inventory has been taken since the start.
   bool engine_reachable_ = false;
   bool engine_fenced_ = false;  // No order of an earlier process can still land.
   bool fence_done_ = false;     // The engine has taken this process's token.
-  std::uint64_t asks_before_fence_ = 0;
+  std::uint64_t queries_before_fence_ = 0;
   bool grants_known_ = false;
   bool leaving_ = false;
   bool vm_leaves_ = false;
--- a/src/core/agent_once.cc
+++ b/src/core/agent_once.cc
@@ -12,14 +12,14 @@
 namespace {
 
 constexpr DurationMs kInProgressRetryMs = 500;
-constexpr DurationMs kNotHomeRetryMs = 500;
+constexpr DurationMs kNotOwnerRetryMs = 500;
 
 std::uint64_t Fingerprint(const CallFrame& call) {
   return RendezvousScore(call.method + " " + call.path, call.body);
 }
 
-Refusal OutcomeUnknown(std::string sentence, DurationMs retry_after_ms) {
-  return Refusal{RefusalCode::kOutcomeUnknown, std::move(sentence), Ran::kUnknown, retry_after_ms};
+Refusal OutcomeUnknown(std::string message, DurationMs retry_after_ms) {
+  return Refusal{RefusalCode::kOutcomeUnknown, std::move(message), Ran::kUnknown, retry_after_ms};
 }
 
 }  // namespace
@@ -34,10 +34,10 @@
   peers_ = std::move(now);
 }
 
-std::optional<Refusal> AgentImpl::HomeRefusal(const CallFrame& call) const {
-  const auto made_at = UuidV7Time(call.idempotency_key);
-  const auto made_after = [&](std::int64_t unix_ms) {
-    return made_at.has_value() && *made_at > unix_ms + options_.clock_skew_ms;
+std::optional<Refusal> AgentImpl::CheckKeyOwner(const CallFrame& call) const {
+  const auto created_at = UuidV7Time(call.idempotency_key);
+  const auto created_after = [&](std::int64_t unix_ms) {
+    return created_at.has_value() && *created_at > unix_ms + options_.clock_skew_ms;
   };
   struct Ranked {
     std::uint64_t score;
@@ -54,88 +54,89 @@
   std::sort(ranking.begin(), ranking.end(), [](const Ranked& a, const Ranked& b) {
     return a.score != b.score ? a.score > b.score : a.vm < b.vm;
   });
-  bool is_home = false;
+  bool is_owner = false;
   for (const auto& it : ranking) {
     const auto lost = lost_peers_.find(it.vm);
     if (lost == lost_peers_.end()) {
-      is_home = it.vm == options_.vm;
+      is_owner = it.vm == options_.vm;
       break;
     }
-    if (made_after(lost->second)) continue;
+    if (created_after(lost->second)) continue;
     return OutcomeUnknown("the key's home " + it.vm + " was lost; it may have run there",
                           lost->second + call.idempotency_window_ms - unix_ms_);
   }
-  if (!is_home) {
+  if (!is_owner) {
     return Refusal{RefusalCode::kNoUpstream, "this upstream is not the key's home", Ran::kNo,
-                   kNotHomeRetryMs};
+                   kNotOwnerRetryMs};
   }
-  const std::int64_t start_forgotten = options_.started_unix_ms + call.idempotency_window_ms;
-  if (unix_ms_ < start_forgotten && !made_after(options_.started_unix_ms)) {
+  const std::int64_t start_window_end = options_.started_unix_ms + call.idempotency_window_ms;
+  if (unix_ms_ < start_window_end && !created_after(options_.started_unix_ms)) {
     return OutcomeUnknown("this agent started within the key's window; the key may have run before",
-                          start_forgotten - unix_ms_);
+                          start_window_end - unix_ms_);
   }
   return std::nullopt;
 }
 
-std::optional<Refusal> AgentImpl::AdmitKeyed(AgentRequest& request, bool* replayed) {
+std::optional<Refusal> AgentImpl::AdmitWithIdempotencyKey(AgentRequest& request, bool* replayed) {
   const CallFrame& call = request.call;
   const std::string row_key = call.key + "\n" + call.idempotency_key;
   const std::uint64_t fingerprint = Fingerprint(call);
-  const StoredAnswer* row = answers_.Find(row_key);
+  const IdempotencyRow* row = idempotency_table_.Find(row_key);
   if (row != nullptr) {
     if (row->fingerprint != fingerprint) {
       return Refusal{RefusalCode::kKeyMismatch,
                      "this idempotency key came before with another method, path or body", Ran::kNo,
                      0};
     }
-    if (row->state == AnswerState::kRunning) {
+    if (row->state == IdempotencyState::kRunning) {
       return Refusal{RefusalCode::kInProgress, "the first call with this key is still running",
                      Ran::kUnknown, kInProgressRetryMs};
     }
-    if (row->state == AnswerState::kUnknown) {
+    if (row->state == IdempotencyState::kUnknown) {
       return OutcomeUnknown("the first call with this key ended without a known answer", 0);
     }
     Replay(request, *row);
     *replayed = true;
     return std::nullopt;
   }
-  const auto refusal = HomeRefusal(call);
+  const auto refusal = CheckKeyOwner(call);
   if (refusal) return refusal;
-  if (answers_.Open(row_key, fingerprint, now_ + call.idempotency_window_ms) == nullptr) {
+  if (idempotency_table_.Insert(row_key, fingerprint, now_ + call.idempotency_window_ms) ==
+      nullptr) {
     return Refusal{RefusalCode::kQueueFull, "the at-most-once table is full", Ran::kNo,
-                   kNotHomeRetryMs};
+                   kNotOwnerRetryMs};
   }
-  request.answer_key = row_key;
+  request.idempotency_row_key = row_key;
   return std::nullopt;
 }
 
-void AgentImpl::Replay(const AgentRequest& request, const StoredAnswer& row) {
+void AgentImpl::Replay(const AgentRequest& request, const IdempotencyRow& row) {
   const std::string& id = request.call.id;
-  const UpstreamReport report = ReportOn(request.call.key);
+  const UpstreamReport report = BuildReport(request.call.key);
   Send(request.link, HeadFrame{id, row.status, row.content_type, false, report});
   if (!row.body.empty()) Send(request.link, PieceFrame{id, 0, row.body});
   Send(request.link, EndFrame{id, row.body.empty() ? 0u : 1u, report});
   ++counters_.answered;
-  ++counters_.repeats_answered;
+  ++counters_.responses_replayed;
 }
 
-void AgentImpl::KeepHead(const AgentRequest& request, const agent::UpstreamHead& head) {
-  if (request.answer_key.empty()) return;
-  StoredAnswer* row = answers_.Find(request.answer_key);
+void AgentImpl::StoreHead(const AgentRequest& request, const agent::UpstreamHead& head) {
+  if (request.idempotency_row_key.empty()) return;
+  IdempotencyRow* row = idempotency_table_.Find(request.idempotency_row_key);
   row->status = head.status;
   row->content_type = head.content_type;
 }
 
-void AgentImpl::KeepPiece(const AgentRequest& request, std::string_view data) {
-  if (request.answer_key.empty()) return;
-  StoredAnswer* row = answers_.Find(request.answer_key);
-  if (row->state == AnswerState::kRunning) answers_.Append(row, data);
+void AgentImpl::StoreChunk(const AgentRequest& request, std::string_view data) {
+  if (request.idempotency_row_key.empty()) return;
+  IdempotencyRow* row = idempotency_table_.Find(request.idempotency_row_key);
+  if (row->state == IdempotencyState::kRunning) idempotency_table_.Append(row, data);
 }
 
-void AgentImpl::SettleRow(const AgentRequest& request, AnswerState state) {
-  if (request.answer_key.empty()) return;
-  StoredAnswer* row = answers_.Find(request.answer_key);
-  if (row->state == AnswerState::kRunning) row->state = state;
+void AgentImpl::FinishRow(const AgentRequest& request, IdempotencyState state) {
+  if (request.idempotency_row_key.empty()) return;
+  IdempotencyRow* row = idempotency_table_.Find(request.idempotency_row_key);
+  if (row->state == IdempotencyState::kRunning) row->state = state;
 }
 
 }  // namespace junctionrail::internal
--- a/src/core/agent_replicas.cc
+++ b/src/core/agent_replicas.cc
@@ -11,15 +11,15 @@
 constexpr DurationMs kShortRetryMs = 200;
 constexpr DurationMs kLoadRetryMs = 1000;
 constexpr DurationMs kReadyWithoutGrantsMs = 3000;
-constexpr DurationMs kBusyAskMs = 100;    // Between inventories while something is unsettled.
-constexpr DurationMs kFailedAskMs = 500;  // After an inventory that failed.
+constexpr DurationMs kUnsettledQueryMs = 100;  // Between inventories while something is unsettled.
+constexpr DurationMs kFailedQueryRetryMs = 500;  // After an inventory that failed.
 constexpr double kMbPerGb = 1024;
-constexpr double kNewestRateWeight = 0.3;  // Of a tier's newest measurement.
-constexpr int kOrderBits = 20;
+constexpr double kLoadRateSmoothing = 0.3;  // Of a tier's newest measurement.
+constexpr int kOperationBits = 20;
 
 }  // namespace
 
-Replica& AgentImpl::ReplicaOf(const std::string& key) {
+Replica& AgentImpl::FindOrAddReplica(const std::string& key) {
   Replica& replica = replicas_[key];
   if (replica.key.empty()) replica.key = key;
   return replica;
@@ -27,10 +27,12 @@
 
 // Orders carry fencing tokens that grow within a process and, as their first
 // part is the Unix time of its start, from one process to the next.
-std::int64_t AgentImpl::NextOrder() { return (options_.started_unix_ms << kOrderBits) + ++orders_; }
+std::int64_t AgentImpl::NextOperationId() {
+  return (options_.started_unix_ms << kOperationBits) + ++operations_;
+}
 
-bool AgentImpl::MayOrder() const {
-  return engine_known_ && engine_reachable_ && engine_fenced_ && !leaving_;
+bool AgentImpl::CanStartOperations() const {
+  return inventory_known_ && engine_reachable_ && engine_fenced_ && !leaving_;
 }
 
 bool AgentImpl::IsReady() const {
@@ -38,7 +40,7 @@
   if (options_.kind == UpstreamKind::kService) return true;
   // In an outage of the key-value service it is ready for what is loaded.
   const bool has_waited = now_ >= started_at_ + kReadyWithoutGrantsMs;
-  return engine_known_ && engine_fenced_ && (grants_known_ || has_waited);
+  return inventory_known_ && engine_fenced_ && (grants_known_ || has_waited);
 }
 
 std::vector<ReplicaStatus> AgentImpl::Replicas() const {
@@ -52,122 +54,123 @@
 
 // ---- What the engine holds -------------------------------------------------
 
-void AgentImpl::AskEngine() {
-  if (options_.kind != UpstreamKind::kEngine || ask_in_flight_) return;
-  ask_in_flight_ = true;
-  asked_at_ = now_;
-  Emit(agent::AskInventory{++asks_});
+void AgentImpl::QueryEngine() {
+  if (options_.kind != UpstreamKind::kEngine || query_in_flight_) return;
+  query_in_flight_ = true;
+  queried_at_ = now_;
+  Emit(agent::QueryInventory{++inventory_queries_});
 }
 
 void AgentImpl::On(agent::InventoryFailed) {
-  ask_in_flight_ = false;
+  query_in_flight_ = false;
   engine_reachable_ = false;
-  next_ask_at_ = now_ + kFailedAskMs;
+  next_query_at_ = now_ + kFailedQueryRetryMs;
 }
 
 void AgentImpl::On(agent::InventoryArrived event) {
-  if (event.asked != asks_ || !ask_in_flight_) return;
-  ask_in_flight_ = false;
+  if (event.query_id != inventory_queries_ || !query_in_flight_) return;
+  query_in_flight_ = false;
   engine_reachable_ = true;
-  reconsider_ = true;
+  needs_reevaluation_ = true;
   ledger_.SetCapacities(event.accelerators_mb);
   std::map<std::string, const EngineModel*> found;
   for (const auto& it : event.models) {
     tiers_[it.key] = it.tier;
     if (it.state != ReplicaState::kAbsent) found[it.key] = &it;
   }
-  for (const auto& [key, model] : found) ReplicaOf(key);
+  for (const auto& [key, model] : found) FindOrAddReplica(key);
   for (auto& [key, replica] : replicas_) {
     const auto it = found.find(key);
-    ReconcileReplica(replica, it == found.end() ? nullptr : it->second, event.asked);
+    ReconcileReplica(replica, it == found.end() ? nullptr : it->second, event.query_id);
   }
-  engine_known_ = true;
-  SettleFence(event.asked);
+  inventory_known_ = true;
+  UpdateFence(event.query_id);
   bool is_unsettled = false;
   for (const auto& [key, it] : replicas_) {
     const bool moves = it.state == ReplicaState::kLoading || it.state == ReplicaState::kUnloading;
-    is_unsettled = is_unsettled || it.is_unknown || (moves && it.order == 0);
+    is_unsettled = is_unsettled || it.is_outcome_unknown || (moves && it.operation_id == 0);
   }
   const bool soon = is_unsettled || !engine_fenced_;
-  next_ask_at_ = now_ + (soon ? kBusyAskMs : options_.inventory_period_ms);
+  next_query_at_ = now_ + (soon ? kUnsettledQueryMs : options_.inventory_period_ms);
 }
 
 // Whether an order of unknown outcome can no longer take effect.
-bool AgentImpl::IsSettled(const Replica& replica) const {
-  return asked_at_ >= replica.unknown_since + options_.order_lifetime_ms;
+bool AgentImpl::IsOperationExpired(const Replica& replica) const {
+  return queried_at_ >= replica.outcome_unknown_since + options_.operation_lifetime_ms;
 }
 
-void AgentImpl::ReconcileReplica(Replica& replica, const EngineModel* found, std::uint64_t asked) {
-  const bool has_order = replica.order != 0;
-  if (has_order || asked <= replica.stale_asks) return;
+void AgentImpl::ReconcileReplica(Replica& replica, const EngineModel* found,
+                                 std::uint64_t query_id) {
+  const bool has_operation = replica.operation_id != 0;
+  if (has_operation || query_id <= replica.last_stale_query) return;
   if (found == nullptr) {
     if (replica.state == ReplicaState::kAbsent) return;
-    if (replica.is_unknown && !IsSettled(replica)) return;
-    if (!replica.is_unknown) ++counters_.inventory_surprises;
-    Note({}, replica.key, "the engine no longer holds it");
-    BecomeAbsent(replica);
-    if (!replica.queue.empty()) replica.is_wanted = true;
+    if (replica.is_outcome_unknown && !IsOperationExpired(replica)) return;
+    if (!replica.is_outcome_unknown) ++counters_.inventory_mismatches;
+    RecordDecision({}, replica.key, "the engine no longer holds it");
+    MarkAbsent(replica);
+    if (!replica.queue.empty()) replica.is_load_requested = true;
     return;
   }
   if (!ledger_.Holds(replica.key)) {
     ledger_.Adopt(found->accelerator, replica.key, found->memory_mb);
     replica.memory_mb = found->memory_mb;
-    if (engine_known_) ++counters_.inventory_surprises;
-    Note({}, replica.key, "the engine holds it already; entered in the ledger");
+    if (inventory_known_) ++counters_.inventory_mismatches;
+    RecordDecision({}, replica.key, "the engine holds it already; entered in the ledger");
   }
   if (found->state != ReplicaState::kLoaded) {
-    if (replica.state == ReplicaState::kAbsent) replica.order_at = now_;
+    if (replica.state == ReplicaState::kAbsent) replica.operation_started_at = now_;
     replica.state = found->state;
     return;
   }
   // Loaded. After an unload of unknown outcome that order may still take effect.
-  const bool may_unload = replica.is_unknown && replica.state == ReplicaState::kUnloading;
-  if (may_unload && !IsSettled(replica)) return;
-  replica.is_unknown = false;
+  const bool may_unload = replica.is_outcome_unknown && replica.state == ReplicaState::kUnloading;
+  if (may_unload && !IsOperationExpired(replica)) return;
+  replica.is_outcome_unknown = false;
   if (replica.state == ReplicaState::kLoaded) return;
   replica.state = ReplicaState::kLoaded;
-  replica.is_wanted = false;
-  BecomeIdle(replica);
-  PumpQueue(replica);
+  replica.is_load_requested = false;
+  MarkIdle(replica);
+  DispatchQueued(replica);
 }
 
 // Makes sure that no order of an earlier process can still land: an engine
 // that checks fencing tokens is told a newer one, for one that does not the
 // orders' lifetime is waited out. Either way only an inventory asked for after
 // that shows all that did land.
-void AgentImpl::SettleFence(std::uint64_t asked) {
+void AgentImpl::UpdateFence(std::uint64_t query_id) {
   if (engine_fenced_) return;
   if (!options_.upstream_checks_fencing) {
-    engine_fenced_ = asked_at_ >= started_at_ + options_.order_lifetime_ms;
+    engine_fenced_ = queried_at_ >= started_at_ + options_.operation_lifetime_ms;
     return;
   }
-  if (!fence_done_) return Emit(agent::FenceEngine{NextOrder()});
-  engine_fenced_ = asked > asks_before_fence_;
-  if (!engine_fenced_) AskEngine();
+  if (!fence_done_) return Emit(agent::FenceEngine{NextOperationId()});
+  engine_fenced_ = query_id > queries_before_fence_;
+  if (!engine_fenced_) QueryEngine();
 }
 
 void AgentImpl::On(agent::FenceDone event) {
   if (!event.ok || fence_done_) return;
   fence_done_ = true;
-  asks_before_fence_ = asks_;
-  AskEngine();
+  queries_before_fence_ = inventory_queries_;
+  QueryEngine();
 }
 
-void AgentImpl::BecomeAbsent(Replica& replica) {
+void AgentImpl::MarkAbsent(Replica& replica) {
   ledger_.Release(replica.key);
   replica.state = ReplicaState::kAbsent;
-  replica.is_unknown = false;
-  replica.order = 0;
+  replica.is_outcome_unknown = false;
+  replica.operation_id = 0;
 }
 
-void AgentImpl::BecomeUnknown(Replica& replica) {
-  replica.is_unknown = true;
-  replica.unknown_since = now_;
-  replica.order = 0;
-  AskEngine();
+void AgentImpl::MarkOutcomeUnknown(Replica& replica) {
+  replica.is_outcome_unknown = true;
+  replica.outcome_unknown_since = now_;
+  replica.operation_id = 0;
+  QueryEngine();
 }
 
-void AgentImpl::BecomeIdle(Replica& replica) {
+void AgentImpl::MarkIdle(Replica& replica) {
   replica.idle_since = now_;
   replica.idle_limit_ms = IdleLimit(options_.idle_policy, replica.history, ExpectedLoad(replica));
 }
@@ -182,14 +185,14 @@
 // What a load took says how fast its tier is, for models never loaded here. The
 // first measurement replaces the assumption: that is a guess, and one too high
 // refuses callers who could have been served.
-void AgentImpl::LearnLoadRate(const Replica& replica, DurationMs took) {
+void AgentImpl::UpdateLoadRate(const Replica& replica, DurationMs took) {
   if (replica.memory_mb == 0) return;
   const auto tier = static_cast<std::size_t>(replica.load_tier);
   const double measured = static_cast<double>(std::max<DurationMs>(1, took)) * kMbPerGb /
                           static_cast<double>(replica.memory_mb);
   const bool is_assumed =
       load_ms_per_gb_[tier] == static_cast<double>(options_.load_ms_per_gb[tier]);
-  const double weight = is_assumed ? 1.0 : kNewestRateWeight;
+  const double weight = is_assumed ? 1.0 : kLoadRateSmoothing;
   load_ms_per_gb_[tier] += weight * (measured - load_ms_per_gb_[tier]);
 }
 
@@ -201,7 +204,7 @@
 }
 
 DurationMs AgentImpl::RemainingLoad(const Replica& replica) const {
-  const DurationMs elapsed = now_ - replica.order_at;
+  const DurationMs elapsed = now_ - replica.operation_started_at;
   const DurationMs expected = std::max(replica.expected_load_ms, ExpectedLoad(replica));
   if (elapsed < expected) return expected - elapsed;
   // Past its estimate: it has slipped, and by how much grows with the wait.
@@ -211,37 +214,38 @@
 // Until a call with this place could be sent, as far as loads decide it. Loads
 // start by the most urgent call that waits for them, so only what is under way
 // and what is more urgent comes before.
-DurationMs AgentImpl::UntilReady(const Replica& replica, const QueuePlace& place) const {
+DurationMs AgentImpl::TimeUntilReady(const Replica& replica, const QueuePosition& position) const {
   if (replica.state == ReplicaState::kLoaded) return 0;
   DurationMs base_ready = 0;
   if (!replica.base.empty()) {
     const auto base = replicas_.find(replica.base);
-    if (base != replicas_.end()) base_ready = UntilReady(base->second, place);
+    if (base != replicas_.end()) base_ready = TimeUntilReady(base->second, position);
   }
   if (replica.state == ReplicaState::kLoading) return std::max(base_ready, RemainingLoad(replica));
   DurationMs ahead = 0;
   for (const auto& [key, it] : replicas_) {
     if (key == replica.key || key == replica.base) continue;
-    if (it.order != 0 && it.state == ReplicaState::kLoading) {
+    if (it.operation_id != 0 && it.state == ReplicaState::kLoading) {
       ahead += RemainingLoad(it);
-    } else if (it.is_wanted && it.state == ReplicaState::kAbsent && MostUrgent(it) < place) {
+    } else if (it.is_load_requested && it.state == ReplicaState::kAbsent &&
+               MostUrgent(it) < position) {
       ahead += ExpectedLoad(it);
     }
   }
   return base_ready + ahead / options_.max_loads + ExpectedLoad(replica);
 }
 
-DurationMs AgentImpl::UntilReady(const Replica& replica) const {
-  return UntilReady(replica, MostUrgent(replica));
+DurationMs AgentImpl::TimeUntilReady(const Replica& replica) const {
+  return TimeUntilReady(replica, MostUrgent(replica));
 }
 
-QueuePlace AgentImpl::PlaceOf(const AgentRequest& request) {
-  return QueuePlace{request.call.priority, request.deadline_at, request.call.id};
+QueuePosition AgentImpl::PositionOf(const AgentRequest& request) {
+  return QueuePosition{request.call.priority, request.deadline_at, request.call.id};
 }
 
 // The place by which a replica would be loaded if this request waited for it.
-QueuePlace AgentImpl::PlaceAt(const Replica& replica, const AgentRequest& request) {
-  return std::min(PlaceOf(request), MostUrgent(replica));
+QueuePosition AgentImpl::LoadPosition(const Replica& replica, const AgentRequest& request) {
+  return std::min(PositionOf(request), MostUrgent(replica));
 }
 
 std::uint32_t AgentImpl::LoadsInFlight() const {
@@ -250,37 +254,38 @@
   return n;
 }
 
-QueuePlace AgentImpl::MostUrgent(const Replica& replica) {
+QueuePosition AgentImpl::MostUrgent(const Replica& replica) {
   if (!replica.queue.empty()) return *replica.queue.begin();
-  return QueuePlace{Priority::kLow, INT64_MAX, replica.key};
+  return QueuePosition{Priority::kLow, INT64_MAX, replica.key};
 }
 
 // Starts the loads that calls wait for, the most urgent first.
-void AgentImpl::BeginLoads() {
-  if (!MayOrder()) return;
+void AgentImpl::StartLoads() {
+  if (!CanStartOperations()) return;
   std::vector<Replica*> wanted;
   for (auto& [key, it] : replicas_) {
-    const bool can_load = it.is_wanted && it.grant == GrantState::kHeld &&
-                          it.state == ReplicaState::kAbsent && it.order == 0 && !it.is_unknown;
+    const bool can_load = it.is_load_requested && it.grant == GrantState::kHeld &&
+                          it.state == ReplicaState::kAbsent && it.operation_id == 0 &&
+                          !it.is_outcome_unknown;
     if (can_load) wanted.push_back(&it);
   }
   std::sort(wanted.begin(), wanted.end(),
             [](const Replica* a, const Replica* b) { return MostUrgent(*a) < MostUrgent(*b); });
   for (Replica* it : wanted) {
     if (LoadsInFlight() >= options_.max_loads) return;
-    BeginLoad(*it);
+    StartLoad(*it);
   }
 }
 
-void AgentImpl::BeginLoad(Replica& replica) {
+void AgentImpl::StartLoad(Replica& replica) {
   std::optional<std::uint32_t> accelerator;
   if (replica.base.empty()) {
     accelerator = ledger_.Reserve(replica.key, replica.memory_mb);
   } else {
-    const Replica& base = ReplicaOf(replica.base);
+    const Replica& base = FindOrAddReplica(replica.base);
     if (base.state != ReplicaState::kLoaded) {
       if (base.grant == GrantState::kHeld) return;  // The base is on its way.
-      return GiveUpLoad(
+      return AbandonLoad(
           replica, Refusal{RefusalCode::kNotGranted, "this upstream holds no grant for the base",
                            Ran::kNo, kShortRetryMs});
     }
@@ -288,67 +293,70 @@
     if (home && ledger_.ReserveOn(*home, replica.key, replica.memory_mb)) accelerator = home;
   }
   if (!accelerator) {
-    if (MakeRoom(replica)) return;
-    GiveUpLoad(replica, Refusal{RefusalCode::kNoMemory,
-                                "no accelerator has room and nothing idle can make it", Ran::kNo,
-                                kShortRetryMs});
+    if (EvictToFit(replica)) return;
+    AbandonLoad(replica, Refusal{RefusalCode::kNoMemory,
+                                 "no accelerator has room and nothing idle can make it", Ran::kNo,
+                                 kShortRetryMs});
     return;
   }
   CheckInvariant(replica.grant == GrantState::kHeld, "nothing is loaded without a grant");
-  CheckInvariant(replica.order == 0 && replica.state == ReplicaState::kAbsent,
+  CheckInvariant(replica.operation_id == 0 && replica.state == ReplicaState::kAbsent,
                  "a key has one load in flight on an upstream");
   replica.state = ReplicaState::kLoading;
-  replica.order = NextOrder();
-  replica.order_at = now_;
+  replica.operation_id = NextOperationId();
+  replica.operation_started_at = now_;
   replica.expected_load_ms = ExpectedLoad(replica);
   replica.load_tier = TierOf(replica.key);
-  replica.stale_asks = asks_;
-  ++counters_.loads_ordered;
-  Note({}, replica.key,
-       "load ordered for " + std::to_string(replica.queue.size()) + " waiting calls",
-       "accelerator=" + std::to_string(*accelerator) +
-           " memory_mb=" + std::to_string(replica.memory_mb) + " expected_ms=" +
-           std::to_string(replica.expected_load_ms) + " token=" + std::to_string(replica.token));
-  Emit(agent::OrderLoad{replica.key, replica.base, *accelerator, replica.memory_mb, replica.order});
+  replica.last_stale_query = inventory_queries_;
+  ++counters_.loads_started;
+  RecordDecision({}, replica.key,
+                 "load ordered for " + std::to_string(replica.queue.size()) + " waiting calls",
+                 "accelerator=" + std::to_string(*accelerator) +
+                     " memory_mb=" + std::to_string(replica.memory_mb) +
+                     " expected_ms=" + std::to_string(replica.expected_load_ms) +
+                     " token=" + std::to_string(replica.token));
+  Emit(agent::LoadModel{replica.key, replica.base, *accelerator, replica.memory_mb,
+                        replica.operation_id});
 }
 
 void AgentImpl::On(agent::LoadEnded event) {
-  Replica& replica = ReplicaOf(event.key);
-  if (replica.order != event.order) return;
-  replica.stale_asks = asks_;
-  reconsider_ = true;
-  const DurationMs took = now_ - replica.order_at;
-  if (event.outcome == OrderOutcome::kUnknown) {
+  Replica& replica = FindOrAddReplica(event.key);
+  if (replica.operation_id != event.operation_id) return;
+  replica.last_stale_query = inventory_queries_;
+  needs_reevaluation_ = true;
+  const DurationMs took = now_ - replica.operation_started_at;
+  if (event.outcome == OperationOutcome::kUnknown) {
     ++counters_.loads_unknown;
-    Note({}, event.key, "the load's outcome is unknown; its memory stays reserved", event.detail);
-    return BecomeUnknown(replica);
+    RecordDecision({}, event.key, "the load's outcome is unknown; its memory stays reserved",
+                   event.detail);
+    return MarkOutcomeUnknown(replica);
   }
-  if (event.outcome == OrderOutcome::kRefused) {
+  if (event.outcome == OperationOutcome::kRefused) {
     ++counters_.loads_failed;
-    BecomeAbsent(replica);
-    return GiveUpLoad(
+    MarkAbsent(replica);
+    return AbandonLoad(
         replica, Refusal{RefusalCode::kLoadFailed, "the engine refused the load: " + event.detail,
                          Ran::kNo, kLoadRetryMs});
   }
-  ++counters_.loads_done;
-  LearnLoadRate(replica, took);
-  replica.order = 0;
+  ++counters_.loads_completed;
+  UpdateLoadRate(replica, took);
+  replica.operation_id = 0;
   replica.state = ReplicaState::kLoaded;
-  replica.is_wanted = false;
+  replica.is_load_requested = false;
   replica.measured_load_ms = replica.measured_load_ms == 0
                                  ? std::max<DurationMs>(1, took)
                                  : std::max<DurationMs>(1, (replica.measured_load_ms + took) / 2);
-  Note({}, event.key, "loaded",
-       "took_ms=" + std::to_string(took) +
-           " expected_ms=" + std::to_string(replica.expected_load_ms));
-  BecomeIdle(replica);
-  PumpQueue(replica);
+  RecordDecision({}, event.key, "loaded",
+                 "took_ms=" + std::to_string(took) +
+                     " expected_ms=" + std::to_string(replica.expected_load_ms));
+  MarkIdle(replica);
+  DispatchQueued(replica);
   ContinueRetiring(replica);
 }
 
-void AgentImpl::GiveUpLoad(Replica& replica, const Refusal& refusal) {
-  replica.is_wanted = false;
-  RefuseQueued(replica, refusal);
+void AgentImpl::AbandonLoad(Replica& replica, const Refusal& refusal) {
+  replica.is_load_requested = false;
+  RefuseAllQueued(replica, refusal);
   if (refusal.code == RefusalCode::kNoMemory) Retire(replica, "it does not fit here");
 }
 
@@ -357,13 +365,14 @@
 bool AgentImpl::HasAdapter(const std::string& key) const {
   return std::any_of(replicas_.begin(), replicas_.end(), [&key](const auto& it) {
     const Replica& adapter = it.second;
-    return adapter.base == key && (adapter.state != ReplicaState::kAbsent || adapter.is_wanted);
+    return adapter.base == key &&
+           (adapter.state != ReplicaState::kAbsent || adapter.is_load_requested);
   });
 }
 
 bool AgentImpl::IsIdle(const Replica& replica) const {
   return replica.state == ReplicaState::kLoaded && replica.running == 0 && replica.queue.empty() &&
-         replica.order == 0 && !replica.is_unknown && !replica.is_wanted;
+         replica.operation_id == 0 && !replica.is_outcome_unknown && !replica.is_load_requested;
 }
 
 // Idle, and so is every adapter upon it.
@@ -372,12 +381,12 @@
   return std::all_of(replicas_.begin(), replicas_.end(), [&](const auto& it) {
     const Replica& adapter = it.second;
     if (adapter.base != replica.key) return true;
-    return adapter.state == ReplicaState::kAbsent ? !adapter.is_wanted : IsIdle(adapter);
+    return adapter.state == ReplicaState::kAbsent ? !adapter.is_load_requested : IsIdle(adapter);
   });
 }
 
 // Free memory, and what idle or leaving replicas would give back.
-std::uint64_t AgentImpl::RoomOn(std::uint32_t accelerator) const {
+std::uint64_t AgentImpl::AvailableOn(std::uint32_t accelerator) const {
   std::uint64_t room = ledger_.FreeOn(accelerator);
   for (const auto& [key, it] : replicas_) {
     if (ledger_.AcceleratorOf(key) != accelerator) continue;
@@ -394,10 +403,10 @@
     const auto it = replicas_.find(base);
     const std::uint64_t own =
         it != replicas_.end() && IsEvictable(it->second) ? ledger_.MemoryOf(base) : 0;
-    return RoomOn(*home) >= memory_mb + own;
+    return AvailableOn(*home) >= memory_mb + own;
   }
   for (std::uint32_t n = 0; n < ledger_.accelerators(); ++n) {
-    if (RoomOn(n) >= memory_mb) return true;
+    if (AvailableOn(n) >= memory_mb) return true;
   }
   return false;
 }
@@ -408,12 +417,12 @@
 
 // Unloads idle replicas, the longest idle first, until the wanted one will fit.
 // False when that can never be enough.
-bool AgentImpl::MakeRoom(const Replica& wanted) {
+bool AgentImpl::EvictToFit(const Replica& wanted) {
   if (!CouldFit(wanted)) return false;
   const auto home = ledger_.AcceleratorOf(wanted.base);
   std::optional<std::uint32_t> target = wanted.base.empty() ? std::nullopt : home;
   for (std::uint32_t n = 0; !target && n < ledger_.accelerators(); ++n) {
-    if (RoomOn(n) >= wanted.memory_mb) target = n;
+    if (AvailableOn(n) >= wanted.memory_mb) target = n;
   }
   if (!target) return false;
   std::uint64_t coming = ledger_.FreeOn(*target);
@@ -440,50 +449,50 @@
     if (it.base != replica.key || !IsIdle(it)) continue;
     has_adapter = true;
     ++counters_.unloads_pressure;
-    BeginUnload(it, "room is needed");
+    StartUnload(it, "room is needed");
   }
   if (has_adapter || HasAdapter(replica.key)) return;
   ++counters_.unloads_pressure;
-  BeginUnload(replica, "room is needed");
+  StartUnload(replica, "room is needed");
 }
 
 void AgentImpl::UnloadIdle() {
-  if (!MayOrder() && !vm_leaves_) return;
+  if (!CanStartOperations() && !vm_leaves_) return;
   for (auto& [key, it] : replicas_) {
     if (!IsIdle(it) || HasAdapter(key)) continue;
     if (grants_known_ && it.grant == GrantState::kNone) {
-      BeginUnload(it, "no grant covers it");
+      StartUnload(it, "no grant covers it");
       continue;
     }
     const bool is_over = it.idle_limit_ms >= 0 && now_ - it.idle_since >= it.idle_limit_ms;
     if (!is_over) continue;
     ++counters_.unloads_idle;
-    BeginUnload(it, "idle for " + std::to_string(now_ - it.idle_since) + " ms, limit " +
+    StartUnload(it, "idle for " + std::to_string(now_ - it.idle_since) + " ms, limit " +
                         std::to_string(it.idle_limit_ms) + " ms");
   }
 }
 
-void AgentImpl::BeginUnload(Replica& replica, std::string_view reason) {
-  if (replica.order != 0 || !engine_reachable_ || !engine_fenced_) return;
+void AgentImpl::StartUnload(Replica& replica, std::string_view reason) {
+  if (replica.operation_id != 0 || !engine_reachable_ || !engine_fenced_) return;
   CheckInvariant(replica.running == 0, "nothing in use is unloaded");
   replica.state = ReplicaState::kUnloading;
-  replica.order = NextOrder();
-  replica.order_at = now_;
-  replica.stale_asks = asks_;
-  Note({}, replica.key, "unload ordered: " + std::string(reason));
-  Emit(agent::OrderUnload{replica.key, replica.order});
+  replica.operation_id = NextOperationId();
+  replica.operation_started_at = now_;
+  replica.last_stale_query = inventory_queries_;
+  RecordDecision({}, replica.key, "unload ordered: " + std::string(reason));
+  Emit(agent::UnloadModel{replica.key, replica.operation_id});
 }
 
 void AgentImpl::On(agent::UnloadEnded event) {
-  Replica& replica = ReplicaOf(event.key);
-  if (replica.order != event.order) return;
-  replica.stale_asks = asks_;
-  reconsider_ = true;
+  Replica& replica = FindOrAddReplica(event.key);
+  if (replica.operation_id != event.operation_id) return;
+  replica.last_stale_query = inventory_queries_;
+  needs_reevaluation_ = true;
   // A refusal says nothing of what the engine holds, so it is asked.
-  if (event.outcome != OrderOutcome::kDone) return BecomeUnknown(replica);
-  ++counters_.unloads_done;
-  BecomeAbsent(replica);
-  if (!replica.queue.empty()) replica.is_wanted = true;
+  if (event.outcome != OperationOutcome::kDone) return MarkOutcomeUnknown(replica);
+  ++counters_.unloads_completed;
+  MarkAbsent(replica);
+  if (!replica.queue.empty()) replica.is_load_requested = true;
   ContinueRetiring(replica);
 }
 
--- a/src/core/agent_requests.cc
+++ b/src/core/agent_requests.cc
@@ -11,7 +11,7 @@
 namespace junctionrail::internal {
 namespace {
 
-constexpr double kFirstServiceMs = 200;    // Assumed until the first answer.
+constexpr double kInitialServiceMs = 200;  // Assumed until the first answer.
 constexpr double kServiceSmoothing = 0.2;  // Weight of the newest service time.
 constexpr DurationMs kShortRetryMs = 200;
 constexpr double kUsPerMs = 1000;
@@ -20,11 +20,11 @@
 // How long before its deadline a call must be sent, so that its answer most
 // likely begins in time: the mean and twice the deviation, as TCP does for its
 // retransmission timer (RFC 6298). Nothing while no answer has begun yet.
-DurationMs NeedBeforeDeadline(const Replica& replica) {
+DurationMs ExpectedHeadMs(const Replica& replica) {
   return static_cast<DurationMs>(replica.head_ms + 2 * replica.head_deviation_ms);
 }
 
-void NoteHead(Replica& replica, double took) {
+void RecordHeadLatency(Replica& replica, double took) {
   if (replica.head_ms <= 0) {
     replica.head_ms = std::max(took, 1.0);
     replica.head_deviation_ms = took / 2;
@@ -36,12 +36,12 @@
 }
 
 double ServiceMs(const Replica& replica) {
-  return replica.service_ms > 0 ? replica.service_ms : kFirstServiceMs;
+  return replica.service_ms > 0 ? replica.service_ms : kInitialServiceMs;
 }
 
 }  // namespace
 
-bool QueuePlace::operator<(const QueuePlace& other) const {
+bool QueuePosition::operator<(const QueuePosition& other) const {
   // A higher class sorts first.
   return std::tie(other.priority, deadline_at, id) <
          std::tie(priority, other.deadline_at, other.id);
@@ -60,7 +60,7 @@
   request.arrived_at = now_;
   request.deadline_at = now_ + call.deadline_ms;
   request.call = std::move(call);
-  reconsider_ = true;
+  needs_reevaluation_ = true;
   const auto refusal = Admit(request);
   if (refusal) Refuse(request, *refusal);
 }
@@ -74,37 +74,37 @@
     return Refusal{RefusalCode::kDeadlinePassed, "the deadline had passed on arrival", Ran::kNo, 0};
   }
   // Its entry finds another upstream sooner than the rest ends.
-  if (rest_until_ > now_) {
+  if (backoff_until_ > now_) {
     return Refusal{RefusalCode::kQueueFull, "the upstream asks for a rest", Ran::kNo,
-                   rest_until_ - now_};
+                   backoff_until_ - now_};
   }
   if (options_.kind == UpstreamKind::kEngine) {
     const auto refusal = AdmitToEngine(request);
     if (refusal) return refusal;
   } else {
-    ReplicaOf(call.key).state = ReplicaState::kLoaded;
+    FindOrAddReplica(call.key).state = ReplicaState::kLoaded;
   }
-  Replica& replica = ReplicaOf(call.key);
+  Replica& replica = FindOrAddReplica(call.key);
   if (!call.idempotency_key.empty()) {
     bool is_replayed = false;
-    const auto refusal = AdmitKeyed(request, &is_replayed);
+    const auto refusal = AdmitWithIdempotencyKey(request, &is_replayed);
     if (refusal || is_replayed) return refusal;
   }
-  const auto refusal = QueueRefusal(request, replica);
+  const auto refusal = CheckQueue(request, replica);
   if (refusal) return refusal;
   Enqueue(std::move(request));
-  PumpQueue(replica);
+  DispatchQueued(replica);
   return std::nullopt;
 }
 
 std::optional<Refusal> AgentImpl::AdmitToEngine(AgentRequest& request) {
   const CallFrame& call = request.call;
-  if (!engine_known_) {
+  if (!inventory_known_) {
     return Refusal{RefusalCode::kUpstreamUnreachable, "the engine has not said yet what it holds",
                    Ran::kNo, kShortRetryMs};
   }
   for (const auto& it : call.grants) AcceptGrant(it);
-  Replica& replica = ReplicaOf(call.key);
+  Replica& replica = FindOrAddReplica(call.key);
   // What an earlier process loaded keeps its grant until this one unloads it,
   // so it may be served even while the key-value service cannot be read.
   const bool may_serve = replica.grant == GrantState::kHeld ||
@@ -118,9 +118,9 @@
     return Refusal{RefusalCode::kNotGranted, "this upstream holds no grant for it", Ran::kNo,
                    kShortRetryMs};
   }
-  NoteArrival(replica);
+  RecordArrival(replica);
   if (replica.state == ReplicaState::kLoaded) return std::nullopt;
-  if (!MayOrder()) {
+  if (!CanStartOperations()) {
     return Refusal{RefusalCode::kUpstreamUnreachable, "the engine cannot be given orders now",
                    Ran::kNo, kShortRetryMs};
   }
@@ -131,23 +131,23 @@
     return refusal;
   }
   request.was_cold = true;
-  const DurationMs ready = UntilReady(replica, PlaceAt(replica, request));
+  const DurationMs ready = TimeUntilReady(replica, LoadPosition(replica, request));
   // The load goes on even when this caller cannot wait: it is told when to come back.
-  replica.is_wanted = true;
-  if (!replica.base.empty()) ReplicaOf(replica.base).is_wanted = true;
+  replica.is_load_requested = true;
+  if (!replica.base.empty()) FindOrAddReplica(replica.base).is_load_requested = true;
   if (now_ + ready <= request.deadline_at) return std::nullopt;
   return Refusal{RefusalCode::kColdTooLate,
                  "the model is cold and would be ready only after the deadline", Ran::kNo, ready};
 }
 
 DurationMs AgentImpl::QueueWait(const Replica& replica, Priority priority, TimeMs deadline) const {
-  const QueuePlace place{priority, deadline, std::string()};
-  const auto ahead = std::distance(replica.queue.begin(), replica.queue.lower_bound(place));
-  return WaitBehind(replica, static_cast<std::size_t>(ahead));
+  const QueuePosition position{priority, deadline, std::string()};
+  const auto ahead = std::distance(replica.queue.begin(), replica.queue.lower_bound(position));
+  return QueueWaitBehind(replica, static_cast<std::size_t>(ahead));
 }
 
 // Until a call with so many before it in the queue would be sent.
-DurationMs AgentImpl::WaitBehind(const Replica& replica, std::size_t ahead) const {
+DurationMs AgentImpl::QueueWaitBehind(const Replica& replica, std::size_t ahead) const {
   const double at_once = options_.max_concurrent;
   const double excess = static_cast<double>(ahead) + replica.running + 1 - at_once;
   if (excess <= 0) return 0;
@@ -157,36 +157,36 @@
 // Tells those whose turn would come too late at once, rather than at their
 // deadline: higher classes may have come since they were admitted. Under load
 // this is also what keeps the upstream from answers nobody waits for.
-void AgentImpl::RefuseHopeless(Replica& replica) {
+void AgentImpl::RefuseLateQueued(Replica& replica) {
   if (replica.state != ReplicaState::kLoaded || replica.queue.empty()) return;
-  const DurationMs need = NeedBeforeDeadline(replica);
+  const DurationMs need = ExpectedHeadMs(replica);
   std::size_t kept = 0;
-  std::vector<std::string> hopeless;
+  std::vector<std::string> too_late;
   for (const auto& it : replica.queue) {
-    const DurationMs wait = WaitBehind(replica, kept);
+    const DurationMs wait = QueueWaitBehind(replica, kept);
     if (wait > 0 && now_ + wait + need > it.deadline_at) {
-      hopeless.push_back(it.id);
+      too_late.push_back(it.id);
     } else {
       ++kept;
     }
   }
-  const DurationMs retry_after = WaitBehind(replica, kept);
-  for (const auto& id : hopeless) {
-    RefuseWaiting(
+  const DurationMs retry_after = QueueWaitBehind(replica, kept);
+  for (const auto& id : too_late) {
+    RefuseQueuedRequest(
         id, Refusal{RefusalCode::kQueueTooLate, "calls before it would keep it past the deadline",
                     Ran::kNo, std::max(retry_after, kShortRetryMs)});
   }
 }
 
-std::optional<Refusal> AgentImpl::QueueRefusal(const AgentRequest& request,
-                                               const Replica& replica) {
+std::optional<Refusal> AgentImpl::CheckQueue(const AgentRequest& request, const Replica& replica) {
   const CallFrame& call = request.call;
-  const DurationMs ready =
-      options_.kind == UpstreamKind::kEngine ? UntilReady(replica, PlaceAt(replica, request)) : 0;
+  const DurationMs ready = options_.kind == UpstreamKind::kEngine
+                               ? TimeUntilReady(replica, LoadPosition(replica, request))
+                               : 0;
   const DurationMs wait = ready + QueueWait(replica, call.priority, request.deadline_at);
   // With a place free it is sent whatever the estimate: it keeps nobody out,
   // and an estimate that was wrong would otherwise never be corrected.
-  const DurationMs need = wait > ready ? NeedBeforeDeadline(replica) : 0;
+  const DurationMs need = wait > ready ? ExpectedHeadMs(replica) : 0;
   if (now_ + wait + need > request.deadline_at) {
     return Refusal{RefusalCode::kQueueTooLate, "the queue would end after the deadline", Ran::kNo,
                    wait};
@@ -200,39 +200,39 @@
   if (replica.queue.empty() || replica.queue.rbegin()->priority >= call.priority) return refusal;
   const auto last = requests_.find(replica.queue.rbegin()->id);
   if (last->second.call.body.size() < call.body.size()) return refusal;
-  RefuseWaiting(last->first, refusal);
+  RefuseQueuedRequest(last->first, refusal);
   return std::nullopt;
 }
 
 void AgentImpl::Enqueue(AgentRequest request) {
   const std::string id = request.call.id;
-  Replica& replica = ReplicaOf(request.call.key);
-  replica.queue.insert(PlaceOf(request));
+  Replica& replica = FindOrAddReplica(request.call.key);
+  replica.queue.insert(PositionOf(request));
   ++queued_;
   queued_bytes_ += request.call.body.size();
   requests_.emplace(id, std::move(request));
 }
 
-void AgentImpl::PumpQueue(Replica& replica) {
-  if (replica.state != ReplicaState::kLoaded || leaving_ || rest_until_ > now_) return;
+void AgentImpl::DispatchQueued(Replica& replica) {
+  if (replica.state != ReplicaState::kLoaded || leaving_ || backoff_until_ > now_) return;
   while (replica.running < options_.max_concurrent && !replica.queue.empty()) {
     AgentRequest& request = requests_.at(replica.queue.begin()->id);
     const bool others_wait = replica.queue.size() > 1;
-    const DurationMs need = others_wait ? NeedBeforeDeadline(replica) : 0;
+    const DurationMs need = others_wait ? ExpectedHeadMs(replica) : 0;
     if (request.deadline_at < now_ + need) {
-      RefuseWaiting(request.call.id,
-                    Refusal{RefusalCode::kQueueTooLate, "its turn came too late for its deadline",
-                            Ran::kNo, kShortRetryMs});
+      RefuseQueuedRequest(request.call.id, Refusal{RefusalCode::kQueueTooLate,
+                                                   "its turn came too late for its deadline",
+                                                   Ran::kNo, kShortRetryMs});
       continue;
     }
-    SendToUpstream(request, replica);
+    DispatchRequest(request, replica);
   }
 }
 
-void AgentImpl::SendToUpstream(AgentRequest& request, Replica& replica) {
+void AgentImpl::DispatchRequest(AgentRequest& request, Replica& replica) {
   CheckInvariant(!leaving_, "an agent that is leaving dispatches nothing");
   CheckInvariant(request.state == RequestState::kQueued, "an attempt is dispatched at most once");
-  LeaveQueue(request, replica);
+  RemoveFromQueue(request, replica);
   request.state = RequestState::kDispatched;
   request.dispatched_at = now_;
   ++replica.running;
@@ -248,24 +248,25 @@
   if (it == requests_.end()) return;
   AgentRequest& request = it->second;
   request.state = RequestState::kAnswering;
-  NoteHead(ReplicaOf(request.call.key), static_cast<double>(now_ - request.dispatched_at));
-  KeepHead(request, event);
-  if (request.gone_as != nullptr) return;
+  RecordHeadLatency(FindOrAddReplica(request.call.key),
+                    static_cast<double>(now_ - request.dispatched_at));
+  StoreHead(request, event);
+  if (request.abandoned_counter != nullptr) return;
   Send(request.link, HeadFrame{event.id, event.status, std::move(event.content_type),
-                               request.was_cold, ReportOn(request.call.key)});
+                               request.was_cold, BuildReport(request.call.key)});
 }
 
 // What was queued before waits for the rest's end, as far as its deadlines allow.
-void AgentImpl::On(agent::UpstreamRests event) {
-  rest_until_ = std::max(rest_until_, now_ + event.rest_ms);
+void AgentImpl::On(agent::UpstreamBackoff event) {
+  backoff_until_ = std::max(backoff_until_, now_ + event.backoff_ms);
 }
 
-void AgentImpl::On(agent::UpstreamPiece event) {
+void AgentImpl::On(agent::UpstreamChunk event) {
   const auto it = requests_.find(event.id);
   if (it == requests_.end()) return;
   AgentRequest& request = it->second;
-  KeepPiece(request, event.data);
-  if (request.gone_as != nullptr) return;
+  StoreChunk(request, event.data);
+  if (request.abandoned_counter != nullptr) return;
   Send(request.link, PieceFrame{event.id, request.next_sequence++, std::move(event.data)});
 }
 
@@ -273,31 +274,31 @@
   const auto it = requests_.find(event.id);
   if (it == requests_.end()) return;
   AgentRequest& request = it->second;
-  SettleRow(request, AnswerState::kAnswered);
-  Finished(request);
-  if (request.gone_as != nullptr) {
-    ++(counters_.*request.gone_as);
+  FinishRow(request, IdempotencyState::kCompleted);
+  FinishDispatch(request);
+  if (request.abandoned_counter != nullptr) {
+    ++(counters_.*request.abandoned_counter);
   } else {
     ++counters_.answered;
-    Send(request.link, EndFrame{event.id, request.next_sequence, ReportOn(request.call.key)});
+    Send(request.link, EndFrame{event.id, request.next_sequence, BuildReport(request.call.key)});
   }
-  Remove(event.id);
+  EraseRequest(event.id);
 }
 
 void AgentImpl::On(agent::UpstreamFailed event) {
   const auto it = requests_.find(event.id);
   if (it == requests_.end()) return;
   AgentRequest& request = it->second;
-  if (options_.kind == UpstreamKind::kEngine) AskEngine();
-  if (event.was_sent) SettleRow(request, AnswerState::kUnknown);
-  Replica& replica = ReplicaOf(request.call.key);
+  if (options_.kind == UpstreamKind::kEngine) QueryEngine();
+  if (event.was_sent) FinishRow(request, IdempotencyState::kUnknown);
+  Replica& replica = FindOrAddReplica(request.call.key);
   CheckInvariant(replica.running > 0, "a dispatched call is counted at its replica");
-  Finished(request);
+  FinishDispatch(request);
   if (!event.was_sent) request.state = RequestState::kQueued;
   AgentRequest ended = std::move(request);
   requests_.erase(it);
-  if (ended.gone_as != nullptr) {
-    ++(counters_.*ended.gone_as);
+  if (ended.abandoned_counter != nullptr) {
+    ++(counters_.*ended.abandoned_counter);
     return;
   }
   if (event.was_sent) {
@@ -311,17 +312,17 @@
 }
 
 // Ends the part a dispatched request played at its replica.
-void AgentImpl::Finished(AgentRequest& request) {
-  Replica& replica = ReplicaOf(request.call.key);
+void AgentImpl::FinishDispatch(AgentRequest& request) {
+  Replica& replica = FindOrAddReplica(request.call.key);
   --replica.running;
   const double took = static_cast<double>(now_ - request.dispatched_at);
   replica.service_ms = replica.service_ms > 0
                            ? replica.service_ms + kServiceSmoothing * (took - replica.service_ms)
                            : std::max(took, 1.0);
   replica.last_work_at = now_;
-  reconsider_ = true;
-  PumpQueue(replica);
-  if (replica.running == 0 && replica.queue.empty()) BecomeIdle(replica);
+  needs_reevaluation_ = true;
+  DispatchQueued(replica);
+  if (replica.running == 0 && replica.queue.empty()) MarkIdle(replica);
 }
 
 void AgentImpl::Refuse(const AgentRequest& request, const Refusal& refusal) {
@@ -330,75 +331,75 @@
     CheckInvariant(request.state == RequestState::kQueued,
                    "a request said not to have run has no dispatch");
     ++counters_.refused;
-    if (!request.answer_key.empty()) answers_.Forget(request.answer_key);
+    if (!request.idempotency_row_key.empty()) idempotency_table_.Erase(request.idempotency_row_key);
   } else {
     ++counters_.failed;
   }
   ++counters_.refused_by_code[static_cast<std::size_t>(refusal.code)];
-  Note(call.id, call.key,
-       "refused, " + std::string(RefusalName(refusal.code)) + ": " + refusal.sentence,
-       "deadline_left_ms=" + std::to_string(request.deadline_at - now_) +
-           " retry_after_ms=" + std::to_string(refusal.retry_after_ms));
-  Send(request.link, RefusalFrame{call.id, refusal, ReportOn(call.key)});
+  RecordDecision(call.id, call.key,
+                 "refused, " + std::string(RefusalName(refusal.code)) + ": " + refusal.sentence,
+                 "deadline_left_ms=" + std::to_string(request.deadline_at - now_) +
+                     " retry_after_ms=" + std::to_string(refusal.retry_after_ms));
+  Send(request.link, RefusalFrame{call.id, refusal, BuildReport(call.key)});
 }
 
-void AgentImpl::Remove(const std::string& id) {
+void AgentImpl::EraseRequest(const std::string& id) {
   const auto it = requests_.find(id);
   if (it == requests_.end()) return;
   const AgentRequest& request = it->second;
   if (request.state == RequestState::kQueued) {
-    Replica& replica = ReplicaOf(request.call.key);
-    LeaveQueue(request, replica);
-    if (replica.running == 0 && replica.queue.empty()) BecomeIdle(replica);
+    Replica& replica = FindOrAddReplica(request.call.key);
+    RemoveFromQueue(request, replica);
+    if (replica.running == 0 && replica.queue.empty()) MarkIdle(replica);
   }
   requests_.erase(it);
 }
 
-void AgentImpl::LeaveQueue(const AgentRequest& request, Replica& replica) {
-  replica.queue.erase(PlaceOf(request));
+void AgentImpl::RemoveFromQueue(const AgentRequest& request, Replica& replica) {
+  replica.queue.erase(PositionOf(request));
   --queued_;
   queued_bytes_ -= request.call.body.size();
 }
 
 // Refuses one that is still in its queue. It leaves first, so that the report
 // that rides on the refusal no longer counts it.
-void AgentImpl::RefuseWaiting(const std::string& id, const Refusal& refusal) {
+void AgentImpl::RefuseQueuedRequest(const std::string& id, const Refusal& refusal) {
   const AgentRequest request = requests_.at(id);
-  Remove(request.call.id);
+  EraseRequest(request.call.id);
   Refuse(request, refusal);
 }
 
-void AgentImpl::RefuseQueued(Replica& replica, const Refusal& refusal) {
+void AgentImpl::RefuseAllQueued(Replica& replica, const Refusal& refusal) {
   while (!replica.queue.empty()) {
-    RefuseWaiting(replica.queue.begin()->id, refusal);
+    RefuseQueuedRequest(replica.queue.begin()->id, refusal);
   }
 }
 
 // The caller or its link is gone, or the deadline has passed. A call that may
 // be repeated is cut off; one that may not runs on and is remembered.
-void AgentImpl::StopWaiting(AgentRequest& request, std::uint64_t AgentCounters::*counter) {
-  if (request.gone_as != nullptr) return;
+void AgentImpl::AbandonRequest(AgentRequest& request, std::uint64_t AgentCounters::*counter) {
+  if (request.abandoned_counter != nullptr) return;
   const std::string id = request.call.id;
   if (request.state == RequestState::kQueued) {
-    if (!request.answer_key.empty()) answers_.Forget(request.answer_key);
+    if (!request.idempotency_row_key.empty()) idempotency_table_.Erase(request.idempotency_row_key);
     ++(counters_.*counter);
-    Remove(id);
+    EraseRequest(id);
     return;
   }
-  if (!request.call.is_repeatable || !request.answer_key.empty()) {
-    request.gone_as = counter;
+  if (!request.call.is_repeatable || !request.idempotency_row_key.empty()) {
+    request.abandoned_counter = counter;
     return;
   }
   Emit(agent::CancelDispatch{id});
   ++(counters_.*counter);
-  Finished(request);
-  Remove(id);
+  FinishDispatch(request);
+  EraseRequest(id);
 }
 
 void AgentImpl::CancelRequest(const std::string& id) {
   const auto it = requests_.find(id);
   if (it == requests_.end()) return;
-  StopWaiting(it->second, &AgentCounters::cancelled);
+  AbandonRequest(it->second, &AgentCounters::cancelled);
 }
 
 void AgentImpl::OnFrame(LinkId, const CancelFrame& cancel) { CancelRequest(cancel.id); }
@@ -416,12 +417,13 @@
 void AgentImpl::ExpireRequests() {
   std::vector<std::string> late;
   for (const auto& [id, request] : requests_) {
-    const bool waits = request.state != RequestState::kAnswering && request.gone_as == nullptr;
-    const Replica& replica = ReplicaOf(request.call.key);
+    const bool waits =
+        request.state != RequestState::kAnswering && request.abandoned_counter == nullptr;
+    const Replica& replica = FindOrAddReplica(request.call.key);
     // A load that slips, or one that more urgent ones have come before.
     const bool slipped =
         request.state == RequestState::kQueued && replica.state != ReplicaState::kLoaded &&
-        now_ + UntilReady(replica, PlaceAt(replica, request)) > request.deadline_at;
+        now_ + TimeUntilReady(replica, LoadPosition(replica, request)) > request.deadline_at;
     if (waits && (request.deadline_at < now_ || slipped)) late.push_back(id);
   }
   std::sort(late.begin(), late.end());
@@ -431,34 +433,34 @@
     AgentRequest& request = it->second;
     if (request.state == RequestState::kQueued) {
       const AgentRequest ended = request;
-      Remove(id);
+      EraseRequest(id);
       const bool passed = ended.deadline_at < now_;
-      const Replica& replica = ReplicaOf(ended.call.key);
+      const Replica& replica = FindOrAddReplica(ended.call.key);
       Refuse(ended,
              passed ? Refusal{RefusalCode::kDeadlinePassed, "the deadline passed in the queue",
                               Ran::kNo, kShortRetryMs}
                     : Refusal{RefusalCode::kColdTooLate, "the load has slipped past the deadline",
-                              Ran::kNo, UntilReady(replica)});
+                              Ran::kNo, TimeUntilReady(replica)});
       continue;
     }
     const AgentRequest copy = request;
-    StopWaiting(request, &AgentCounters::failed);
-    // StopWaiting has counted, or will count, this one; only the frame is owed.
+    AbandonRequest(request, &AgentCounters::failed);
+    // AbandonRequest has counted, or will count, this one; only the frame is owed.
     Send(copy.link, RefusalFrame{id,
                                  Refusal{RefusalCode::kDeadlinePassed,
                                          "the upstream gave no answer before the deadline",
                                          Ran::kUnknown, kShortRetryMs},
-                                 ReportOn(copy.call.key)});
-    Note(id, copy.call.key, "gave up: the upstream gave no answer before the deadline");
+                                 BuildReport(copy.call.key)});
+    RecordDecision(id, copy.call.key, "gave up: the upstream gave no answer before the deadline");
   }
 }
 
-void AgentImpl::NoteArrival(Replica& replica) {
+void AgentImpl::RecordArrival(Replica& replica) {
   const bool was_idle = replica.running == 0 && replica.queue.empty();
   if (was_idle && replica.last_work_at > 0) replica.history.AddGap(now_ - replica.last_work_at);
 }
 
-UpstreamReport AgentImpl::ReportOn(const std::string& key) const {
+UpstreamReport AgentImpl::BuildReport(const std::string& key) const {
   UpstreamReport report;
   report.leaving = leaving_;
   const auto it = replicas_.find(key);
@@ -467,7 +469,7 @@
   report.state = replica.state;
   report.queued = static_cast<std::uint32_t>(replica.queue.size());
   report.running = replica.running;
-  const DurationMs ready = options_.kind == UpstreamKind::kEngine ? UntilReady(replica) : 0;
+  const DurationMs ready = options_.kind == UpstreamKind::kEngine ? TimeUntilReady(replica) : 0;
   report.wait_ms = ready + QueueWait(replica, Priority::kNormal, INT64_MAX);
   const std::uint32_t present = replica.running + report.queued;
   report.free_places = options_.max_concurrent - std::min(options_.max_concurrent, present);
@@ -483,7 +485,7 @@
 }
 
 void AgentImpl::OnFrame(LinkId link, const WhyFrame& why) {
-  Send(link, WhyAnswerFrame{why.id, EncodeRecords(decisions_.About(why.subject), options_.vm,
+  Send(link, WhyAnswerFrame{why.id, EncodeRecords(decisions_.RecordsAbout(why.subject), options_.vm,
                                                   unix_ms_ - now_)});
 }
 
@@ -493,14 +495,14 @@
 
 void AgentImpl::Send(LinkId link, Frame frame) { Emit(agent::SendFrame{link, std::move(frame)}); }
 
-void AgentImpl::Note(std::string request, std::string key, std::string sentence,
-                     std::string inputs) {
+void AgentImpl::RecordDecision(std::string request, std::string key, std::string message,
+                               std::string inputs) {
   DecisionRecord record;
   record.at = now_;
   record.request = std::move(request);
   record.key = std::move(key);
   record.vm = options_.vm;
-  record.sentence = std::move(sentence);
+  record.message = std::move(message);
   record.inputs = std::move(inputs);
   record.config_version = last_config_version_;
   decisions_.Add(std::move(record));
--- a/src/core/burn.cc
+++ b/src/core/burn.cc
@@ -5,29 +5,31 @@
 namespace junctionrail {
 namespace {
 
-constexpr std::array<std::string_view, kBurnCauses> kNames = {
+constexpr std::array<std::string_view, kBurnCauseCount> kBurnCauseNames = {
     "good", "slow_cold", "slow_warm", "refused_cold", "queue", "capacity", "upstream", "other"};
-constexpr std::string_view kOthers = "(others)";
+constexpr std::string_view kOverflowKey = "(others)";
 
-std::uint64_t Of(const BurnCounts& counts, BurnCause cause) {
+std::uint64_t CountOf(const BurnCounts& counts, BurnCause cause) {
   return counts.by_cause[static_cast<std::size_t>(cause)];
 }
 
-BurnCounts One(BurnCause cause) {
+BurnCounts SingleCount(BurnCause cause) {
   BurnCounts counts;
   counts.by_cause[static_cast<std::size_t>(cause)] = 1;
   return counts;
 }
 
 // The burn of a budget of which `allowed` is the bad share.
-double Rate(std::uint64_t bad, std::uint64_t all, double allowed) {
+double BurnRate(std::uint64_t bad, std::uint64_t all, double allowed) {
   if (all == 0) return 0;
   return static_cast<double>(bad) / static_cast<double>(all) / allowed;
 }
 
 }  // namespace
 
-std::string_view BurnCauseName(BurnCause cause) { return kNames[static_cast<std::size_t>(cause)]; }
+std::string_view BurnCauseName(BurnCause cause) {
+  return kBurnCauseNames[static_cast<std::size_t>(cause)];
+}
 
 std::uint64_t BurnCounts::Total() const {
   std::uint64_t sum = 0;
@@ -36,70 +38,71 @@
 }
 
 void BurnCounts::Add(const BurnCounts& other) {
-  for (std::size_t n = 0; n < kBurnCauses; ++n) by_cause[n] += other.by_cause[n];
+  for (std::size_t n = 0; n < kBurnCauseCount; ++n) by_cause[n] += other.by_cause[n];
   cold_starts += other.cold_starts;
   cold_starts_late += other.cold_starts_late;
 }
 
-BurnRates RatesOf(const BurnCounts& counts, const Objectives& objectives) {
+BurnRates ComputeBurnRates(const BurnCounts& counts, const Objectives& objectives) {
   const std::uint64_t all = counts.Total();
-  const std::uint64_t slow = Of(counts, BurnCause::kSlowCold) + Of(counts, BurnCause::kSlowWarm);
-  const std::uint64_t unserved = all - Of(counts, BurnCause::kGood) - slow;
+  const std::uint64_t slow =
+      CountOf(counts, BurnCause::kSlowCold) + CountOf(counts, BurnCause::kSlowWarm);
+  const std::uint64_t unserved = all - CountOf(counts, BurnCause::kGood) - slow;
   BurnRates rates;
   // A call that was not served had no first token in time either.
-  rates.first_token = Rate(slow + unserved, all, 1 - objectives.first_token_share);
-  rates.availability = Rate(unserved, all, 1 - objectives.availability);
+  rates.first_token = BurnRate(slow + unserved, all, 1 - objectives.first_token_share);
+  rates.availability = BurnRate(unserved, all, 1 - objectives.availability);
   rates.cold_start =
-      Rate(counts.cold_starts_late, counts.cold_starts, 1 - objectives.first_token_share);
+      BurnRate(counts.cold_starts_late, counts.cold_starts, 1 - objectives.first_token_share);
   rates.budget_left = 1 - rates.first_token;
   return rates;
 }
 
-BurnCounts JudgeAnswer(const Objectives& objectives, DurationMs first_ms, bool was_cold) {
-  const bool is_late = first_ms > objectives.first_token_ms;
-  BurnCounts counts = One(!is_late   ? BurnCause::kGood
-                          : was_cold ? BurnCause::kSlowCold
-                                     : BurnCause::kSlowWarm);
+BurnCounts ClassifyResponse(const Objectives& objectives, DurationMs first_byte_ms, bool was_cold) {
+  const bool is_late = first_byte_ms > objectives.first_token_ms;
+  BurnCounts counts = SingleCount(!is_late   ? BurnCause::kGood
+                                  : was_cold ? BurnCause::kSlowCold
+                                             : BurnCause::kSlowWarm);
   counts.cold_starts = was_cold ? 1 : 0;
-  counts.cold_starts_late = was_cold && first_ms > objectives.cold_start_ms ? 1 : 0;
+  counts.cold_starts_late = was_cold && first_byte_ms > objectives.cold_start_ms ? 1 : 0;
   return counts;
 }
 
-BurnCounts JudgeFailure(std::string_view refusal_name) {
+BurnCounts ClassifyFailure(std::string_view refusal_name) {
   const auto is_one_of = [refusal_name](std::initializer_list<std::string_view> names) {
     return std::find(names.begin(), names.end(), refusal_name) != names.end();
   };
-  if (is_one_of({"cold_too_late", "load_failed"})) return One(BurnCause::kCold);
-  if (is_one_of({"queue_too_late", "queue_full"})) return One(BurnCause::kQueue);
+  if (is_one_of({"cold_too_late", "load_failed"})) return SingleCount(BurnCause::kRefusedCold);
+  if (is_one_of({"queue_too_late", "queue_full"})) return SingleCount(BurnCause::kQueue);
   if (is_one_of({"no_replicas", "no_memory", "not_granted", "grant_unverified", "placement_failed",
                  "no_upstream", "leaving"})) {
-    return One(BurnCause::kCapacity);
+    return SingleCount(BurnCause::kCapacity);
   }
   if (is_one_of({"upstream_unreachable", "upstream_failed", "link_lost", "deadline_passed"})) {
-    return One(BurnCause::kUpstream);
+    return SingleCount(BurnCause::kUpstream);
   }
-  return One(BurnCause::kOther);
+  return SingleCount(BurnCause::kOther);
 }
 
-void BurnLedger::Bucket::Add(const BurnCounts& one) {
-  for (std::size_t n = 0; n < kBurnCauses; ++n) {
+void BurnTracker::Bucket::Add(const BurnCounts& one) {
+  for (std::size_t n = 0; n < kBurnCauseCount; ++n) {
     by_cause[n] += static_cast<std::uint32_t>(one.by_cause[n]);
   }
   cold_starts += static_cast<std::uint32_t>(one.cold_starts);
   cold_starts_late += static_cast<std::uint32_t>(one.cold_starts_late);
 }
 
-void BurnLedger::Bucket::AddTo(BurnCounts* sum) const {
-  for (std::size_t n = 0; n < kBurnCauses; ++n) sum->by_cause[n] += by_cause[n];
+void BurnTracker::Bucket::AddTo(BurnCounts* sum) const {
+  for (std::size_t n = 0; n < kBurnCauseCount; ++n) sum->by_cause[n] += by_cause[n];
   sum->cold_starts += cold_starts;
   sum->cold_starts_late += cold_starts_late;
 }
 
-void BurnLedger::Add(TimeMs now, std::string_view key, const BurnCounts& one) {
+void BurnTracker::Add(TimeMs now, std::string_view key, const BurnCounts& one) {
   auto it = keys_.find(key);
   if (it == keys_.end()) {
-    const bool has_room = keys_.size() < most_keys_;
-    it = keys_.try_emplace(std::string(has_room ? key : kOthers)).first;
+    const bool has_room = keys_.size() < max_keys_;
+    it = keys_.try_emplace(std::string(has_room ? key : kOverflowKey)).first;
   }
   for (std::size_t n = 0; n < kBurnWindows.size(); ++n) {
     const BurnWindow& window = kBurnWindows[n];
@@ -115,7 +118,7 @@
   }
 }
 
-std::vector<BurnLedger::Entry> BurnLedger::Report(TimeMs now, std::string_view only_key) const {
+std::vector<BurnTracker::Entry> BurnTracker::Report(TimeMs now, std::string_view only_key) const {
   std::vector<Entry> all;
   for (const auto& [key, series] : keys_) {
     if (!only_key.empty() && key != only_key) continue;
--- a/src/core/decision_log.cc
+++ b/src/core/decision_log.cc
@@ -26,7 +26,7 @@
   ++evicted_;
 }
 
-std::vector<DecisionRecord> DecisionLog::About(std::string_view subject) const {
+std::vector<DecisionRecord> DecisionLog::RecordsAbout(std::string_view subject) const {
   std::vector<DecisionRecord> found;
   if (subject.empty()) return found;
   for (std::size_t n = 0; n < ring_.size(); ++n) {
@@ -52,7 +52,7 @@
                    {"request", it.request},
                    {"key", it.key},
                    {"vm", it.vm},
-                   {"sentence", it.sentence},
+                   {"sentence", it.message},
                    {"inputs", it.inputs},
                    {"rejected", std::move(rejected)},
                    {"config_version", it.config_version}});
--- a/src/core/entry_grants.cc
+++ b/src/core/entry_grants.cc
@@ -8,9 +8,9 @@
 namespace junctionrail::internal {
 namespace {
 
-constexpr DurationMs kRetirePeriodMs = 1000;
-constexpr DurationMs kRetireTurnMs = 2000;     // Later entries step in after this, each.
-constexpr std::uint32_t kMostRetireTurns = 8;  // Turns after this one coincide.
+constexpr DurationMs kRetireCheckPeriodMs = 1000;
+constexpr DurationMs kRetireDelayPerRankMs = 2000;  // Later entries step in after this, each.
+constexpr std::uint32_t kMaxRetireRank = 8;         // Turns after this one coincide.
 
 }  // namespace
 
@@ -24,18 +24,20 @@
   CheckInvariant(event.configuration.version() >= configuration_.version(),
                  "an applied configuration never falls");
   configuration_ = std::move(event.configuration);
-  excess_ = true;
-  Note({}, {}, {}, "configuration " + std::to_string(configuration_.version()) + " is in force");
+  may_have_excess_ = true;
+  RecordDecision({}, {}, {},
+                 "configuration " + std::to_string(configuration_.version()) + " is in force");
 }
 
-void EntryImpl::On(entry::ConfigurationLogged event) {
+void EntryImpl::On(entry::ConfigurationChanged event) {
   if (event.change.version <= configuration_.version()) return;
   const std::uint64_t before = configuration_.version();
   if (!configuration_.Apply(event.change)) return Emit(entry::ReadConfiguration{});
   CheckInvariant(configuration_.version() > before, "an applied configuration never falls");
-  excess_ = true;
-  Note({}, {}, {}, "configuration " + std::to_string(configuration_.version()) + " is in force",
-       "change=" + event.change.change_id + " author=" + event.change.author);
+  may_have_excess_ = true;
+  RecordDecision({}, {}, {},
+                 "configuration " + std::to_string(configuration_.version()) + " is in force",
+                 "change=" + event.change.change_id + " author=" + event.change.author);
 }
 
 std::uint32_t EntryImpl::DeclaredReplicas(std::string_view key) const {
@@ -53,50 +55,50 @@
 
 // Whether the VM that holds a slot is known to be gone. A list older than the
 // one the slot was placed by cannot tell.
-bool EntryImpl::IsGone(const GrantSlot& slot) const {
+bool EntryImpl::IsHolderGone(const GrantSlot& slot) const {
   if (list_.revision < slot.list_revision) return false;
   const auto it = upstreams_.find(slot.vm);
   return it == upstreams_.end() || it->second.info.incarnation != slot.incarnation;
 }
 
-std::vector<GrantSlot> EntryImpl::StandingSlots(const std::string& key) const {
-  std::vector<GrantSlot> standing;
+std::vector<GrantSlot> EntryImpl::LiveSlots(const std::string& key) const {
+  std::vector<GrantSlot> live;
   const auto record = grants_.find(key);
-  if (record == grants_.end()) return standing;
+  if (record == grants_.end()) return live;
   for (const auto& it : record->second.slots) {
-    if (!IsGone(it)) standing.push_back(it);
+    if (!IsHolderGone(it)) live.push_back(it);
   }
-  return standing;
+  return live;
 }
 
-bool EntryImpl::HasRoomForSlot(const std::string& key) const {
-  return StandingSlots(key).size() < DeclaredReplicas(key);
+bool EntryImpl::CanAddSlot(const std::string& key) const {
+  return LiveSlots(key).size() < DeclaredReplicas(key);
 }
 
-void EntryImpl::TakeGrant(GrantRecord record) {
+void EntryImpl::StoreGrant(GrantRecord record) {
   GrantRecord& known = grants_[record.key];
   if (record.revision < known.revision) return;
-  if (record.slots.size() > DeclaredReplicas(record.key)) excess_ = true;
+  if (record.slots.size() > DeclaredReplicas(record.key)) may_have_excess_ = true;
   // A base that leaves a VM makes orphans of the adapters it has there.
-  const auto still_stands = [&record](const GrantSlot& old) {
+  const auto still_exists = [&record](const GrantSlot& old) {
     return std::any_of(record.slots.begin(), record.slots.end(),
                        [&old](const GrantSlot& it) { return it.token == old.token; });
   };
-  const bool has_lost = !std::all_of(known.slots.begin(), known.slots.end(), still_stands);
-  excess_ = excess_ || has_lost;
+  const bool has_lost = !std::all_of(known.slots.begin(), known.slots.end(), still_exists);
+  may_have_excess_ = may_have_excess_ || has_lost;
   known = std::move(record);
 }
 
 void EntryImpl::On(entry::GrantChanged event) {
   const std::string key = event.record.key;
-  TakeGrant(std::move(event.record));
+  StoreGrant(std::move(event.record));
   const auto placement = placements_.find(key);
   // A write of this entry's own ends through its answer, not through the watch.
   const bool is_writing =
       placement != placements_.end() && (placement->second.state == PlacementState::kWriting ||
                                          placement->second.state == PlacementState::kReading);
   if (is_writing) return;
-  if (placement != placements_.end() && !HasRoomForSlot(key)) placements_.erase(placement);
+  if (placement != placements_.end() && !CanAddSlot(key)) placements_.erase(placement);
   RouteWaiters(key);
 }
 
@@ -121,14 +123,14 @@
 // ---- Slots above the declared count ----------------------------------------
 
 void EntryImpl::RetireExcess() {
-  if (!excess_ || now_ < next_retire_at_) return;
-  next_retire_at_ = now_ + kRetirePeriodMs;
-  excess_ = false;
+  if (!may_have_excess_ || now_ < next_retire_at_) return;
+  next_retire_at_ = now_ + kRetireCheckPeriodMs;
+  may_have_excess_ = false;
   for (const auto& [key, record] : grants_) RetireExcessOf(record);
 }
 
 void EntryImpl::RetireExcessOf(const GrantRecord& record) {
-  std::vector<GrantSlot> slots = StandingSlots(record.key);
+  std::vector<GrantSlot> slots = LiveSlots(record.key);
   const std::size_t declared = DeclaredReplicas(record.key);
   std::sort(slots.begin(), slots.end(),
             [](const GrantSlot& a, const GrantSlot& b) { return a.index < b.index; });
@@ -150,14 +152,14 @@
     excess_since_.erase(record.key);
     return;
   }
-  excess_ = true;
+  may_have_excess_ = true;
   const TimeMs since = excess_since_.try_emplace(record.key, now_).first->second;
-  if (now_ < since + static_cast<DurationMs>(std::min(TurnOf(record.key), kMostRetireTurns)) *
-                         kRetireTurnMs)
+  if (now_ < since + static_cast<DurationMs>(std::min(RankOf(record.key), kMaxRetireRank)) *
+                         kRetireDelayPerRankMs)
     return;
   for (const auto& it : excess) {
     ++counters_.retires_sent;
-    Note(
+    RecordDecision(
         {}, record.key, it.vm,
         it.vm + " is told to give slot " + std::to_string(it.index) + " back",
         "declared=" + std::to_string(declared) + " granted=" + std::to_string(record.slots.size()));
--- a/src/core/entry_impl.h
+++ b/src/core/entry_impl.h
@@ -39,16 +39,16 @@
   bool is_delivered = false;  // The caller has been sent a head.
   std::uint32_t status = 0;
   std::string content_type;
-  std::string buffer;           // Pieces not passed on yet.
-  std::set<std::string> tried;  // Upstreams that did not run it.
-  bool may_have_run = false;    // An attempt ended with its outcome unknown.
-  bool only_loaded = false;     // A cold replica is known to be too late.
+  std::string buffer;            // Pieces not passed on yet.
+  std::set<std::string> tried;   // Upstreams that did not run it.
+  bool may_have_run = false;     // An attempt ended with its outcome unknown.
+  bool requires_loaded = false;  // A cold replica is known to be too late.
   std::optional<Refusal> last_refusal;
   TimeMs wait_until = 0;  // While waiting for a slot to come free.
 };
 
 // An upstream's last word about one key, and what was sent to it since.
-struct HeardReport {
+struct LastReport {
   UpstreamReport report;
   std::uint32_t sent_since = 0;
 };
@@ -62,19 +62,19 @@
   std::uint32_t failures = 0;   // In a row.
   std::uint32_t ejections = 0;  // In a row.
   TimeMs ejected_until = 0;
-  std::map<std::string, HeardReport, std::less<>> reports;  // By key.
+  std::map<std::string, LastReport, std::less<>> reports;  // By key.
 };
 
-enum class PlacementState { kTurn, kBase, kAsking, kWriting, kReading };
+enum class PlacementState { kDelayed, kAwaitingBase, kCollectingOffers, kWriting, kReading };
 
 // The search for one more slot of a key.
 struct Placement {
-  PlacementState state = PlacementState::kTurn;
+  PlacementState state = PlacementState::kDelayed;
   TimeMs until = 0;
-  std::uint32_t waves = 0;
+  std::uint32_t offer_batches = 0;
   std::uint32_t conflicts = 0;
-  std::set<std::string> asked;
-  std::set<std::string> pending;
+  std::set<std::string> queried;
+  std::set<std::string> pending_offers;
   std::vector<OfferFrame> offers;      // In the order they came.
   std::vector<std::string> offer_vms;  // The VM of each offer.
   std::vector<RejectedCandidate> rejected;
@@ -97,7 +97,7 @@
   const DecisionLog& decisions() const { return decisions_; }
   const Configuration& configuration() const { return configuration_; }
   const VmList& vms() const { return list_; }
-  std::size_t present() const { return calls_.size(); }
+  std::size_t open_calls() const { return calls_.size(); }
   bool IsStopping() const { return stopping_; }
   std::uint32_t InFlight(std::string_view vm) const;
   std::vector<UpstreamStatus> Upstreams(TimeMs now) const;
@@ -106,7 +106,7 @@
  private:
   // entry_requests.cc
   void On(entry::CallArrived event);
-  void On(entry::CallerGone event);
+  void On(entry::CallerDisconnected event);
   void On(entry::FrameArrived event);
   void On(entry::LinkClosed event);
   void On(entry::StopRequested event);
@@ -116,17 +116,17 @@
   void OnFrame(const std::string& vm, const EndFrame& end);
   void OnFrame(const std::string& vm, RefusalFrame refusal);
   void OnFrame(const std::string& vm, OfferFrame offer);
-  template <class Other>
-  void OnFrame(const std::string&, const Other&) {}  // Frames only an entry sends, and hello.
-  EntryCall* CallOf(const std::string& attempt, const std::string& vm);
+  template <class OtherFrame>
+  void OnFrame(const std::string&, const OtherFrame&) {}  // Frames only an entry sends, and hello.
+  EntryCall* FindCall(const std::string& attempt, const std::string& vm);
   std::optional<Refusal> ResolveName(EntryCall& call);
   void SendAttempt(EntryCall& call, const Upstream& upstream);
   void EndAttempt(EntryCall& call);
   void AttemptRefused(EntryCall& call, Refusal refusal);
   void AttemptLost(EntryCall& call, Refusal refusal);
-  bool TakeRetry();
+  bool ConsumeRetryToken();
   void Refuse(EntryCall& call, const Refusal& refusal);
-  void Remove(const std::string& id);
+  void EraseCall(const std::string& id);
   void ExpireCalls();
   void CheckConservation() const;
 
@@ -135,10 +135,10 @@
   void Route(EntryCall& call);
   void RouteToService(EntryCall& call);
   void RouteToModel(EntryCall& call);
-  const Upstream* HomeOf(const EntryCall& call) const;
+  const Upstream* KeyOwnerOf(const EntryCall& call) const;
   std::vector<Candidate> CandidatesFor(const EntryCall& call,
                                        std::vector<RejectedCandidate>* rejected) const;
-  std::optional<std::string> Unusable(const EntryCall& call, const Upstream& upstream) const;
+  std::optional<std::string> UnusableReason(const EntryCall& call, const Upstream& upstream) const;
   Candidate Estimate(const std::string& key, const Upstream& upstream) const;
   const Candidate& Pick(const std::vector<Candidate>& candidates);
   const GrantSlot* SlotOn(const std::string& key, const VmInfo& vm) const;
@@ -146,42 +146,42 @@
   bool IsLeaving(const Upstream& upstream) const {
     return upstream.info.is_leaving || upstream.leaving_until > now_;
   }
-  void SaysLeaving(const std::string& vm, bool is_leaving);
-  void TakeReport(const std::string& vm, const std::string& key, const UpstreamReport& report);
-  void Succeeded(const std::string& vm);
-  void Failed(const std::string& vm, std::string_view reason);
+  void SetReportedLeaving(const std::string& vm, bool is_leaving);
+  void StoreReport(const std::string& vm, const std::string& key, const UpstreamReport& report);
+  void RecordSuccess(const std::string& vm);
+  void RecordFailure(const std::string& vm, std::string_view reason);
 
   // entry_placement.cc
   void On(entry::ConfigurationRead event);
-  void On(entry::ConfigurationLogged event);
+  void On(entry::ConfigurationChanged event);
   void On(entry::GrantChanged event);
-  void On(entry::GrantSettled event);
+  void On(entry::GrantOperationEnded event);
   void WaitForPlacement(EntryCall& call);
   void BeginPlacement(const std::string& key);
   void ContinuePlacement(const std::string& key, Placement& placement);
-  void AskNextWave(const std::string& key, Placement& placement);
+  void RequestNextOffers(const std::string& key, Placement& placement);
   void ChooseOffer(const std::string& key, Placement& placement);
   void OfferFailed(const std::string& vm);
   void WriteSlot(const std::string& key, Placement& placement, const std::string& vm);
   void EndPlacement(const std::string& key, const Refusal& refusal);
   void ForEachWaiter(const std::string& key, const std::function<void(EntryCall&)>& action);
   void RouteWaiters(const std::string& key);
-  void TakeGrant(GrantRecord record);
+  void StoreGrant(GrantRecord record);
   void RetireExcess();
   void RetireExcessOf(const GrantRecord& record);
-  bool IsGone(const GrantSlot& slot) const;
-  std::vector<GrantSlot> StandingSlots(const std::string& key) const;
+  bool IsHolderGone(const GrantSlot& slot) const;
+  std::vector<GrantSlot> LiveSlots(const std::string& key) const;
   std::uint32_t DeclaredReplicas(std::string_view key) const;
-  std::uint32_t TurnOf(std::string_view key) const;
+  std::uint32_t RankOf(std::string_view key) const;
   std::vector<const Upstream*> PlacementOrder(const std::string& key) const;
-  bool HasRoomForSlot(const std::string& key) const;
+  bool CanAddSlot(const std::string& key) const;
 
   template <class C>
   void Emit(C command) {
-    out_->emplace_back(std::move(command));
+    commands_->emplace_back(std::move(command));
   }
-  void Note(std::string request, std::string key, std::string vm, std::string sentence,
-            std::string inputs = {}, std::vector<RejectedCandidate> rejected = {});
+  void RecordDecision(std::string request, std::string key, std::string vm, std::string message,
+                      std::string inputs = {}, std::vector<RejectedCandidate> rejected = {});
 
   EntryOptions options_;
   EntryCounters counters_;
@@ -195,11 +195,11 @@
   std::map<std::string, Upstream, std::less<>> upstreams_;
   std::map<std::string, GrantRecord, std::less<>> grants_;
   std::map<std::string, Placement> placements_;
-  std::vector<entry::Command>* out_ = nullptr;
+  std::vector<entry::Command>* commands_ = nullptr;
   TimeMs now_ = 0;
   std::map<std::string, TimeMs> excess_since_;
   TimeMs next_retire_at_ = 0;
-  bool excess_ = false;  // Some record may hold more slots than are declared.
+  bool may_have_excess_ = false;  // Some record may hold more slots than are declared.
   double retry_tokens_ = 0;
   std::uint64_t attempts_ = 0;
   bool stopping_ = false;
--- a/src/core/entry_placement.cc
+++ b/src/core/entry_placement.cc
@@ -9,11 +9,11 @@
 namespace junctionrail::internal {
 namespace {
 
-constexpr DurationMs kRetrySoonMs = 200;
-constexpr DurationMs kServiceRetryMs = 1000;  // Of the key-value service.
-constexpr DurationMs kWriteWaitMs = 10000;    // Longer than the client's own limit.
-constexpr std::uint32_t kMostConflicts = 8;
-constexpr double kEqualLoadShare = 1.2;  // Loads this close count as equal.
+constexpr DurationMs kShortRetryMs = 200;
+constexpr DurationMs kKvRetryMs = 1000;     // Of the key-value service.
+constexpr DurationMs kKvTimeoutMs = 10000;  // Longer than the client's own limit.
+constexpr std::uint32_t kMaxConflicts = 8;
+constexpr double kEqualLoadRatio = 1.2;  // Loads this close count as equal.
 
 std::string_view TierName(CacheTier tier) {
   switch (tier) {
@@ -34,14 +34,14 @@
 void EntryImpl::WaitForPlacement(EntryCall& call) {
   const std::string key = call.key;
   waiters_[key].push_back(call.call.id);
-  Note(call.call.id, key, {}, "waits for a replica slot",
-       "slots=" + std::to_string(StandingSlots(key).size()) +
-           " declared=" + std::to_string(DeclaredReplicas(key)));
+  RecordDecision(call.call.id, key, {}, "waits for a replica slot",
+                 "slots=" + std::to_string(LiveSlots(key).size()) +
+                     " declared=" + std::to_string(DeclaredReplicas(key)));
   BeginPlacement(key);
 }
 
 // This entry's place in the order in which live entries act on a key.
-std::uint32_t EntryImpl::TurnOf(std::string_view key) const {
+std::uint32_t EntryImpl::RankOf(std::string_view key) const {
   const std::uint64_t own = RendezvousScore(key, options_.vm);
   std::uint32_t before = 0;
   for (const auto& it : list_.vms) {
@@ -56,60 +56,60 @@
   if (!is_new) return;
   ++counters_.placements;
   Placement& placement = it->second;
-  const std::uint32_t turn = TurnOf(key);
+  const std::uint32_t rank = RankOf(key);
   placement.until = now_;
-  if (turn > 0) {
+  if (rank > 0) {
     // The more entries there are, the wider their turns are spread, so that
     // most of a burst sees the first one's grant instead of writing its own.
-    const DurationMs spread = std::min<DurationMs>(turn, options_.turn_spread_ms);
+    const DurationMs spread = std::min<DurationMs>(rank, options_.placement_jitter_ms);
     std::uniform_int_distribution<DurationMs> jitter(0, spread);
-    placement.until = now_ + options_.turn_ms + jitter(random_);
+    placement.until = now_ + options_.placement_delay_ms + jitter(random_);
   }
   ContinuePlacement(key, placement);
 }
 
 void EntryImpl::ContinuePlacement(const std::string& key, Placement& placement) {
   switch (placement.state) {
-    case PlacementState::kTurn: {
+    case PlacementState::kDelayed: {
       if (now_ < placement.until) return;
       const ModelDeclaration* model = configuration_.Resolve(key);
       if (model == nullptr) {
         return EndPlacement(
             key, Refusal{RefusalCode::kNotDeclared, "it is no longer declared", Ran::kNo, 0});
       }
-      if (model->IsAdapter() && StandingSlots(model->base).empty()) {
+      if (model->IsAdapter() && LiveSlots(model->base).empty()) {
         // The base is placed first; its grant brings this placement on.
-        placement.state = PlacementState::kBase;
-        placement.until = now_ + kWriteWaitMs;
+        placement.state = PlacementState::kAwaitingBase;
+        placement.until = now_ + kKvTimeoutMs;
         const std::string base = model->base;
-        if (HasRoomForSlot(base)) BeginPlacement(base);
+        if (CanAddSlot(base)) BeginPlacement(base);
         return;
       }
-      placement.state = PlacementState::kAsking;
-      return AskNextWave(key, placement);
+      placement.state = PlacementState::kCollectingOffers;
+      return RequestNextOffers(key, placement);
     }
-    case PlacementState::kBase: {
+    case PlacementState::kAwaitingBase: {
       const ModelDeclaration* model = configuration_.Resolve(key);
-      const bool is_placed = model != nullptr && !StandingSlots(model->base).empty();
+      const bool is_placed = model != nullptr && !LiveSlots(model->base).empty();
       const bool is_failed =
           !is_placed && (model == nullptr || placements_.count(model->base) == 0);
       if (is_placed) {
-        placement.state = PlacementState::kAsking;
-        return AskNextWave(key, placement);
+        placement.state = PlacementState::kCollectingOffers;
+        return RequestNextOffers(key, placement);
       }
       if (!is_failed && now_ < placement.until) return;
       return EndPlacement(key, Refusal{RefusalCode::kPlacementFailed,
-                                       "its base could not be placed", Ran::kNo, kServiceRetryMs});
+                                       "its base could not be placed", Ran::kNo, kKvRetryMs});
     }
-    case PlacementState::kAsking:
-      if (placement.pending.empty() || now_ >= placement.until) ChooseOffer(key, placement);
+    case PlacementState::kCollectingOffers:
+      if (placement.pending_offers.empty() || now_ >= placement.until) ChooseOffer(key, placement);
       return;
     case PlacementState::kWriting:
     case PlacementState::kReading:
       if (now_ < placement.until) return;
       return EndPlacement(
           key, Refusal{RefusalCode::kPlacementFailed, "the key-value service did not answer",
-                       Ran::kNo, kServiceRetryMs});
+                       Ran::kNo, kKvRetryMs});
   }
 }
 
@@ -139,61 +139,63 @@
   return order;
 }
 
-void EntryImpl::AskNextWave(const std::string& key, Placement& placement) {
+void EntryImpl::RequestNextOffers(const std::string& key, Placement& placement) {
   const ModelDeclaration* model = configuration_.Resolve(key);
-  std::vector<std::string> wave;
-  if (model != nullptr && placement.waves < options_.most_waves) {
+  std::vector<std::string> batch;
+  if (model != nullptr && placement.offer_batches < options_.max_offer_batches) {
     for (const Upstream* it : PlacementOrder(key)) {
-      if (wave.size() >= options_.ask_wave) break;
-      if (placement.asked.count(it->info.vm) == 0) wave.push_back(it->info.vm);
+      if (batch.size() >= options_.offer_batch_size) break;
+      if (placement.queried.count(it->info.vm) == 0) batch.push_back(it->info.vm);
     }
   }
-  if (wave.empty()) {
-    const bool any_asked = !placement.asked.empty();
-    Note({}, key, {},
-         any_asked ? "no upstream that was asked has room" : "no upstream could be asked",
-         "asked=" + std::to_string(placement.asked.size()), placement.rejected);
+  if (batch.empty()) {
+    const bool any_queried = !placement.queried.empty();
+    RecordDecision(
+        {}, key, {},
+        any_queried ? "no upstream that was asked has room" : "no upstream could be asked",
+        "asked=" + std::to_string(placement.queried.size()), placement.rejected);
     const Refusal refusal =
-        any_asked ? Refusal{RefusalCode::kNoMemory, "no upstream that was asked has room for it",
-                            Ran::kNo, kServiceRetryMs}
-                  : Refusal{RefusalCode::kNoUpstream, "no upstream could be asked to hold it",
-                            Ran::kNo, kServiceRetryMs};
+        any_queried ? Refusal{RefusalCode::kNoMemory, "no upstream that was asked has room for it",
+                              Ran::kNo, kKvRetryMs}
+                    : Refusal{RefusalCode::kNoUpstream, "no upstream could be asked to hold it",
+                              Ran::kNo, kKvRetryMs};
     return EndPlacement(key, refusal);
   }
-  ++placement.waves;
-  placement.until = now_ + options_.ask_ms;
-  for (const auto& vm : wave) {
-    placement.asked.insert(vm);
-    placement.pending.insert(vm);
+  ++placement.offer_batches;
+  placement.until = now_ + options_.offer_timeout_ms;
+  for (const auto& vm : batch) {
+    placement.queried.insert(vm);
+    placement.pending_offers.insert(vm);
   }
-  for (const auto& vm : wave) {
+  for (const auto& vm : batch) {
     Emit(entry::SendFrame{vm, AskFrame{key, key, model->base, model->memory_mb}});
   }
 }
 
 void EntryImpl::OnFrame(const std::string& vm, OfferFrame offer) {
   const auto it = placements_.find(offer.key);
-  if (it == placements_.end() || it->second.pending.erase(vm) == 0) return;
+  if (it == placements_.end() || it->second.pending_offers.erase(vm) == 0) return;
   Placement& placement = it->second;
   // Until a call has been there, the offer is the best word on its cold start.
   const auto upstream = upstreams_.find(vm);
   if (upstream != upstreams_.end()) {
     UpstreamReport expected;
     expected.wait_ms = offer.load_ms;
-    upstream->second.reports.try_emplace(offer.key, HeardReport{expected, 0});
+    upstream->second.reports.try_emplace(offer.key, LastReport{expected, 0});
   }
   placement.offers.push_back(std::move(offer));
   placement.offer_vms.push_back(vm);
   const std::string key = it->first;
-  if (placement.state == PlacementState::kAsking) ContinuePlacement(key, placement);
+  if (placement.state == PlacementState::kCollectingOffers) ContinuePlacement(key, placement);
 }
 
 void EntryImpl::OfferFailed(const std::string& vm) {
   std::vector<std::string> keys;
   for (auto& [key, it] : placements_) {
-    if (it.pending.erase(vm) == 0) continue;
+    if (it.pending_offers.erase(vm) == 0) continue;
     it.rejected.push_back({vm, "took no connection"});
-    if (it.state == PlacementState::kAsking && it.pending.empty()) keys.push_back(key);
+    if (it.state == PlacementState::kCollectingOffers && it.pending_offers.empty())
+      keys.push_back(key);
   }
   for (const auto& key : keys) {
     const auto it = placements_.find(key);
@@ -206,7 +208,7 @@
 // all go to the upstream that happens to answer first.
 void EntryImpl::ChooseOffer(const std::string& key, Placement& placement) {
   std::set<std::string> halls;
-  for (const auto& slot : StandingSlots(key)) halls.insert(upstreams_.at(slot.vm).info.data_hall);
+  for (const auto& slot : LiveSlots(key)) halls.insert(upstreams_.at(slot.vm).info.data_hall);
   struct Choice {
     std::size_t n;
     bool is_new_hall;
@@ -231,7 +233,7 @@
     const auto load = static_cast<double>(offer.load_ms);
     const auto other_load = static_cast<double>(other.load_ms);
     const bool is_equal =
-        load <= other_load * kEqualLoadShare && other_load <= load * kEqualLoadShare;
+        load <= other_load * kEqualLoadRatio && other_load <= load * kEqualLoadRatio;
     const bool is_better =
         !is_equal ? load < other_load
         : choice.is_new_hall != best->is_new_hall
@@ -239,7 +241,7 @@
             : RendezvousScore(key, vm) > RendezvousScore(key, placement.offer_vms[best->n]);
     if (is_better) best = choice;
   }
-  if (!best) return AskNextWave(key, placement);
+  if (!best) return RequestNextOffers(key, placement);
   for (std::size_t n = 0; n < placement.offers.size(); ++n) {
     const OfferFrame& offer = placement.offers[n];
     if (n == best->n || !offer.fits) continue;
@@ -248,10 +250,10 @@
          std::string(TierName(offer.tier)) + ", load " + std::to_string(offer.load_ms) + " ms"});
   }
   const OfferFrame& offer = placement.offers[best->n];
-  Note({}, key, placement.offer_vms[best->n], "placed on " + placement.offer_vms[best->n],
-       "tier=" + std::string(TierName(offer.tier)) + " load_ms=" + std::to_string(offer.load_ms) +
-           " free_mb=" + std::to_string(offer.free_mb),
-       placement.rejected);
+  RecordDecision({}, key, placement.offer_vms[best->n], "placed on " + placement.offer_vms[best->n],
+                 "tier=" + std::string(TierName(offer.tier)) + " load_ms=" +
+                     std::to_string(offer.load_ms) + " free_mb=" + std::to_string(offer.free_mb),
+                 placement.rejected);
   WriteSlot(key, placement, placement.offer_vms[best->n]);
 }
 
@@ -259,10 +261,10 @@
   const VmInfo& info = upstreams_.at(vm).info;
   GrantRecord record = grants_[key];
   record.key = key;
-  record.slots = StandingSlots(key);
+  record.slots = LiveSlots(key);
   if (record.slots.size() >= DeclaredReplicas(key)) {
     return EndPlacement(key, Refusal{RefusalCode::kNoReplicas, "every declared replica is placed",
-                                     Ran::kNo, kRetrySoonMs});
+                                     Ran::kNo, kShortRetryMs});
   }
   std::set<std::uint32_t> used;
   for (const auto& it : record.slots) used.insert(it.index);
@@ -273,43 +275,43 @@
   CheckInvariant(record.slots.size() <= DeclaredReplicas(key),
                  "slots granted never exceed the replicas declared in the version the writer saw");
   placement.state = PlacementState::kWriting;
-  placement.until = now_ + kWriteWaitMs;
+  placement.until = now_ + kKvTimeoutMs;
   ++counters_.grant_writes;
   Emit(entry::WriteGrant{std::move(record)});
 }
 
-void EntryImpl::On(entry::GrantSettled event) {
+void EntryImpl::On(entry::GrantOperationEnded event) {
   const auto it = placements_.find(event.key);
   const bool is_placing =
       it != placements_.end() && (it->second.state == PlacementState::kWriting ||
                                   it->second.state == PlacementState::kReading);
-  if (event.is_known) TakeGrant(std::move(event.record));
+  if (event.is_known) StoreGrant(std::move(event.record));
   if (!is_placing) return RouteWaiters(event.key);
   Placement& placement = it->second;
   if (!event.is_known) {
     if (placement.state == PlacementState::kReading) {
       return EndPlacement(
           event.key, Refusal{RefusalCode::kPlacementFailed, "the key-value service did not answer",
-                             Ran::kNo, kServiceRetryMs});
+                             Ran::kNo, kKvRetryMs});
     }
     // The write may have taken effect. Reading settles it: either the slot is
     // there, or the next write depends on what was read and so excludes it.
     placement.state = PlacementState::kReading;
-    placement.until = now_ + kWriteWaitMs;
+    placement.until = now_ + kKvTimeoutMs;
     ++counters_.grant_reads;
     return Emit(entry::ReadGrant{event.key});
   }
   const bool was_read = placement.state == PlacementState::kReading;
   if (!event.is_written && !was_read) ++counters_.grant_conflicts;
   const bool may_write_again =
-      !event.is_written && HasRoomForSlot(event.key) && ++placement.conflicts < kMostConflicts;
-  if (may_write_again && StandingSlots(event.key).empty()) {
-    placement.state = PlacementState::kAsking;
-    placement.asked.clear();
+      !event.is_written && CanAddSlot(event.key) && ++placement.conflicts < kMaxConflicts;
+  if (may_write_again && LiveSlots(event.key).empty()) {
+    placement.state = PlacementState::kCollectingOffers;
+    placement.queried.clear();
     placement.offers.clear();
     placement.offer_vms.clear();
-    placement.waves = 0;
-    return AskNextWave(event.key, placement);
+    placement.offer_batches = 0;
+    return RequestNextOffers(event.key, placement);
   }
   placements_.erase(it);
   RouteWaiters(event.key);
--- a/src/core/entry_requests.cc
+++ b/src/core/entry_requests.cc
@@ -8,7 +8,7 @@
 namespace junctionrail::internal {
 namespace {
 
-constexpr DurationMs kRetrySoonMs = 200;
+constexpr DurationMs kShortRetryMs = 200;
 constexpr std::uint32_t kFirstServerError = 500;
 
 std::string AttemptId(const EntryCall& call) {
@@ -24,43 +24,44 @@
   call.arrived_at = now_;
   call.deadline_at = now_ + event.deadline_ms;
   call.call = std::move(event);
-  retry_tokens_ = std::min(options_.retry_reserve, retry_tokens_ + options_.retry_share);
+  retry_tokens_ = std::min(options_.retry_burst, retry_tokens_ + options_.retry_ratio);
   const auto [it, is_new] = calls_.emplace(id, std::move(call));
   CheckInvariant(is_new, "a request id is used once");
-  EntryCall& kept = it->second;
-  deadlines_.emplace(kept.deadline_at, id);
+  EntryCall& stored = it->second;
+  deadlines_.emplace(stored.deadline_at, id);
   if (stopping_) {
-    return Refuse(kept, Refusal{RefusalCode::kStopping, "this entry is stopping", Ran::kNo, 0});
+    return Refuse(stored, Refusal{RefusalCode::kStopping, "this entry is stopping", Ran::kNo, 0});
   }
-  const auto refusal = ResolveName(kept);
-  if (refusal) return Refuse(kept, *refusal);
-  Route(kept);
+  const auto refusal = ResolveName(stored);
+  if (refusal) return Refuse(stored, *refusal);
+  Route(stored);
 }
 
 // Turns the name a caller used into the key of a declaration.
 std::optional<Refusal> EntryImpl::ResolveName(EntryCall& call) {
-  const entry::CallArrived& asked = call.call;
-  if (asked.is_service) {
-    const ServiceDeclaration* service = configuration_.FindService(asked.name);
+  const entry::CallArrived& request = call.call;
+  if (request.is_service) {
+    const ServiceDeclaration* service = configuration_.FindService(request.name);
     if (service != nullptr) {
       call.key = service->Key();
       return std::nullopt;
     }
   } else {
-    const ModelDeclaration* model = configuration_.Resolve(asked.name);
+    const ModelDeclaration* model = configuration_.Resolve(request.name);
     if (model != nullptr && model->replicas > 0) {
       call.key = model->Key();
       return std::nullopt;
     }
     if (model != nullptr) {
       return Refusal{RefusalCode::kNoReplicas,
-                     "\"" + asked.name + "\" is declared with no replicas", Ran::kNo, 0};
+                     "\"" + request.name + "\" is declared with no replicas", Ran::kNo, 0};
     }
   }
-  return Refusal{RefusalCode::kNotDeclared, "\"" + asked.name + "\" is not declared", Ran::kNo, 0};
+  return Refusal{RefusalCode::kNotDeclared, "\"" + request.name + "\" is not declared", Ran::kNo,
+                 0};
 }
 
-bool EntryImpl::TakeRetry() {
+bool EntryImpl::ConsumeRetryToken() {
   if (retry_tokens_ < 1) {
     ++counters_.retries_denied;
     return false;
@@ -71,12 +72,12 @@
 }
 
 void EntryImpl::SendAttempt(EntryCall& call, const Upstream& upstream) {
-  const entry::CallArrived& asked = call.call;
+  const entry::CallArrived& request = call.call;
   const bool is_retry = call.attempts > 0;
   if (is_retry) {
-    CheckInvariant(asked.is_repeatable || !call.may_have_run,
+    CheckInvariant(request.is_repeatable || !call.may_have_run,
                    "a call that may not be repeated is never sent after an unknown outcome");
-    const bool may_retry = call.attempts < options_.most_attempts && TakeRetry();
+    const bool may_retry = call.attempts < options_.max_attempts && ConsumeRetryToken();
     if (!may_retry) return Refuse(call, *call.last_refusal);
   }
   ++call.attempts;
@@ -88,23 +89,23 @@
   call.buffer.clear();
   Upstream& chosen = upstreams_.at(call.vm);
   ++chosen.in_flight;
-  const auto heard = chosen.reports.find(call.key);
-  if (heard != chosen.reports.end()) ++heard->second.sent_since;
+  const auto last_report = chosen.reports.find(call.key);
+  if (last_report != chosen.reports.end()) ++last_report->second.sent_since;
   CallFrame frame;
   frame.id = AttemptId(call);
   frame.key = call.key;
-  frame.method = asked.method;
-  frame.path = asked.path;
-  frame.content_type = asked.content_type;
-  frame.body = asked.body;
+  frame.method = request.method;
+  frame.path = request.path;
+  frame.content_type = request.content_type;
+  frame.body = request.body;
   frame.deadline_ms = call.deadline_at - now_;
-  frame.priority = asked.priority;
-  frame.is_repeatable = asked.is_repeatable;
-  frame.is_stream = asked.is_stream;
+  frame.priority = request.priority;
+  frame.is_repeatable = request.is_repeatable;
+  frame.is_stream = request.is_stream;
   frame.config_version = configuration_.version();
-  if (asked.is_service) {
-    frame.idempotency_key = asked.idempotency_key;
-    frame.idempotency_window_ms = configuration_.FindService(asked.name)->idempotency_window_ms;
+  if (request.is_service) {
+    frame.idempotency_key = request.idempotency_key;
+    frame.idempotency_window_ms = configuration_.FindService(request.name)->idempotency_window_ms;
   } else {
     const ModelDeclaration* model = configuration_.Resolve(call.key);
     const auto add = [&](const ModelDeclaration& declared) {
@@ -120,7 +121,7 @@
 }
 
 // The call an agent's frame is about; null when that attempt is over.
-EntryCall* EntryImpl::CallOf(const std::string& attempt, const std::string& vm) {
+EntryCall* EntryImpl::FindCall(const std::string& attempt, const std::string& vm) {
   const std::size_t dot = attempt.rfind('.');
   const auto it = dot == std::string::npos ? calls_.end() : calls_.find(attempt.substr(0, dot));
   const bool is_current = it != calls_.end() && it->second.state == CallState::kSent &&
@@ -135,13 +136,13 @@
 }
 
 void EntryImpl::OnFrame(const std::string& vm, HeadFrame head) {
-  EntryCall* call = CallOf(head.id, vm);
+  EntryCall* call = FindCall(head.id, vm);
   if (call == nullptr) return;
-  TakeReport(vm, call->key, head.report);
+  StoreReport(vm, call->key, head.report);
   if (!call->call.is_service && head.status >= kFirstServerError) {
     return AttemptLost(*call, Refusal{RefusalCode::kUpstreamFailed,
                                       "the engine answered " + std::to_string(head.status),
-                                      Ran::kUnknown, kRetrySoonMs});
+                                      Ran::kUnknown, kShortRetryMs});
   }
   call->has_head = true;
   call->head_at = now_;
@@ -152,56 +153,57 @@
 }
 
 void EntryImpl::OnFrame(const std::string& vm, PieceFrame piece) {
-  EntryCall* call = CallOf(piece.id, vm);
+  EntryCall* call = FindCall(piece.id, vm);
   if (call == nullptr) return;
   if (!call->has_head || piece.sequence != call->next_sequence) {
     return AttemptLost(*call, Refusal{RefusalCode::kLinkLost, "a piece of the answer is missing",
-                                      Ran::kUnknown, kRetrySoonMs});
+                                      Ran::kUnknown, kShortRetryMs});
   }
   ++call->next_sequence;
   const std::string& id = call->call.id;
   if (call->is_delivered) {
-    Emit(entry::AnswerPiece{id, std::move(piece.data)});
+    Emit(entry::SendResponseChunk{id, std::move(piece.data)});
     return;
   }
   call->buffer += piece.data;
-  const bool pass_on = call->call.is_stream || call->buffer.size() > options_.most_buffered;
+  const bool pass_on = call->call.is_stream || call->buffer.size() > options_.max_buffered_bytes;
   if (!pass_on) return;
   call->is_delivered = true;
-  Emit(entry::AnswerHead{id, call->status, call->content_type});
-  Emit(entry::AnswerPiece{id, std::move(call->buffer)});
+  Emit(entry::SendResponseHead{id, call->status, call->content_type});
+  Emit(entry::SendResponseChunk{id, std::move(call->buffer)});
   call->buffer.clear();
 }
 
 void EntryImpl::OnFrame(const std::string& vm, const EndFrame& end) {
-  EntryCall* call = CallOf(end.id, vm);
+  EntryCall* call = FindCall(end.id, vm);
   if (call == nullptr) return;
-  TakeReport(vm, call->key, end.report);
+  StoreReport(vm, call->key, end.report);
   if (!call->has_head || end.count != call->next_sequence) {
     return AttemptLost(*call, Refusal{RefusalCode::kLinkLost, "the end of the answer is missing",
-                                      Ran::kUnknown, kRetrySoonMs});
+                                      Ran::kUnknown, kShortRetryMs});
   }
-  Succeeded(vm);
+  RecordSuccess(vm);
   EndAttempt(*call);
   ++counters_.answered;
   const std::string id = call->call.id;
-  Note(id, call->key, vm, "answered by " + vm,
-       "first_ms=" + std::to_string(call->head_at - call->arrived_at) + " whole_ms=" +
-           std::to_string(now_ - call->arrived_at) + " attempts=" + std::to_string(call->attempts));
+  RecordDecision(id, call->key, vm, "answered by " + vm,
+                 "first_ms=" + std::to_string(call->head_at - call->arrived_at) +
+                     " whole_ms=" + std::to_string(now_ - call->arrived_at) +
+                     " attempts=" + std::to_string(call->attempts));
   Emit(entry::CallEnded{call->key, true, call->head_at - call->arrived_at, call->was_cold, {}});
   if (call->is_delivered) {
-    Emit(entry::AnswerEnd{id});
+    Emit(entry::EndResponse{id});
   } else {
-    Emit(entry::AnswerWhole{id, call->status, std::move(call->content_type),
-                            std::move(call->buffer)});
+    Emit(entry::SendResponse{id, call->status, std::move(call->content_type),
+                             std::move(call->buffer)});
   }
-  Remove(id);
+  EraseCall(id);
 }
 
 void EntryImpl::OnFrame(const std::string& vm, RefusalFrame frame) {
-  EntryCall* call = CallOf(frame.id, vm);
+  EntryCall* call = FindCall(frame.id, vm);
   if (call == nullptr) return;
-  TakeReport(vm, call->key, frame.report);
+  StoreReport(vm, call->key, frame.report);
   if (frame.refusal.ran == Ran::kNo) {
     AttemptRefused(*call, std::move(frame.refusal));
   } else {
@@ -224,15 +226,16 @@
   const bool is_final = refusal.code == RefusalCode::kDeadlinePassed ||
                         refusal.code == RefusalCode::kKeyMismatch ||
                         !call.call.idempotency_key.empty();
-  if (refusal.code == RefusalCode::kLeaving) SaysLeaving(vm, true);
-  if (refusal.code == RefusalCode::kUpstreamUnreachable) Failed(vm, refusal.sentence);
-  if (refusal.code == RefusalCode::kColdTooLate) call.only_loaded = true;
+  if (refusal.code == RefusalCode::kLeaving) SetReportedLeaving(vm, true);
+  if (refusal.code == RefusalCode::kUpstreamUnreachable) RecordFailure(vm, refusal.sentence);
+  if (refusal.code == RefusalCode::kColdTooLate) call.requires_loaded = true;
   if (refusal.code == RefusalCode::kNotGranted) {
     ++counters_.grant_reads;
     Emit(entry::ReadGrant{call.key});
   }
-  Note(call.call.id, call.key, vm,
-       vm + " refused it, " + std::string(RefusalName(refusal.code)) + ": " + refusal.sentence);
+  RecordDecision(
+      call.call.id, call.key, vm,
+      vm + " refused it, " + std::string(RefusalName(refusal.code)) + ": " + refusal.sentence);
   if (is_final) return Refuse(call, refusal);
   Route(call);
 }
@@ -244,13 +247,14 @@
   Emit(entry::SendFrame{vm, CancelFrame{AttemptId(call)}});
   EndAttempt(call);
   const bool is_keyed = !call.call.idempotency_key.empty();
-  const bool is_upstreams_fault =
+  const bool is_upstream_fault =
       refusal.code != RefusalCode::kInProgress && refusal.code != RefusalCode::kOutcomeUnknown;
-  if (is_upstreams_fault) Failed(vm, refusal.sentence);
+  if (is_upstream_fault) RecordFailure(vm, refusal.sentence);
   call.may_have_run = true;
   call.tried.insert(vm);
   call.last_refusal = refusal;
-  Note(call.call.id, call.key, vm, "the attempt at " + vm + " was lost: " + refusal.sentence);
+  RecordDecision(call.call.id, call.key, vm,
+                 "the attempt at " + vm + " was lost: " + refusal.sentence);
   const bool may_repeat = call.call.is_repeatable && !is_keyed && !call.is_delivered &&
                           refusal.code != RefusalCode::kDeadlinePassed;
   if (!may_repeat) return Refuse(call, refusal);
@@ -259,37 +263,37 @@
 }
 
 void EntryImpl::Refuse(EntryCall& call, const Refusal& refusal) {
-  Refusal told = refusal;
-  if (call.may_have_run) told.ran = Ran::kUnknown;
-  CheckInvariant(call.state != CallState::kSent || told.ran == Ran::kUnknown,
+  Refusal reported = refusal;
+  if (call.may_have_run) reported.ran = Ran::kUnknown;
+  CheckInvariant(call.state != CallState::kSent || reported.ran == Ran::kUnknown,
                  "a call said not to have run is at no upstream");
-  ++(told.ran == Ran::kNo ? counters_.refused : counters_.failed);
-  ++counters_.refused_by_code[static_cast<std::size_t>(told.code)];
+  ++(reported.ran == Ran::kNo ? counters_.refused : counters_.failed);
+  ++counters_.refused_by_code[static_cast<std::size_t>(reported.code)];
   const std::string id = call.call.id;
-  Note(id, call.key, call.vm,
-       "refused, " + std::string(RefusalName(told.code)) + ": " + told.sentence,
-       "attempts=" + std::to_string(call.attempts) +
-           " deadline_left_ms=" + std::to_string(call.deadline_at - now_) +
-           " ran=" + (told.ran == Ran::kNo ? "no" : "unknown"));
+  RecordDecision(id, call.key, call.vm,
+                 "refused, " + std::string(RefusalName(reported.code)) + ": " + reported.sentence,
+                 "attempts=" + std::to_string(call.attempts) +
+                     " deadline_left_ms=" + std::to_string(call.deadline_at - now_) +
+                     " ran=" + (reported.ran == Ran::kNo ? "no" : "unknown"));
   if (!call.key.empty()) {
-    Emit(entry::CallEnded{call.key, false, now_ - call.arrived_at, call.was_cold, told.code});
+    Emit(entry::CallEnded{call.key, false, now_ - call.arrived_at, call.was_cold, reported.code});
   }
   if (call.is_delivered) {
-    Emit(entry::AnswerBroken{id, std::move(told)});
+    Emit(entry::AbortResponse{id, std::move(reported)});
   } else {
-    Emit(entry::AnswerRefusal{id, std::move(told)});
+    Emit(entry::SendRefusal{id, std::move(reported)});
   }
-  Remove(id);
+  EraseCall(id);
 }
 
-void EntryImpl::Remove(const std::string& id) {
+void EntryImpl::EraseCall(const std::string& id) {
   const auto it = calls_.find(id);
   if (it == calls_.end()) return;
   deadlines_.erase({it->second.deadline_at, id});
   calls_.erase(it);
 }
 
-void EntryImpl::On(entry::CallerGone event) {
+void EntryImpl::On(entry::CallerDisconnected event) {
   const auto it = calls_.find(event.id);
   if (it == calls_.end()) return;
   EntryCall& call = it->second;
@@ -298,7 +302,7 @@
     EndAttempt(call);
   }
   ++counters_.cancelled;
-  Remove(event.id);
+  EraseCall(event.id);
 }
 
 void EntryImpl::On(entry::LinkClosed event) {
@@ -313,11 +317,11 @@
     if (event.was_open) {
       AttemptLost(found->second,
                   Refusal{RefusalCode::kLinkLost, "the link to " + event.vm + " was lost",
-                          Ran::kUnknown, kRetrySoonMs});
+                          Ran::kUnknown, kShortRetryMs});
     } else {
       AttemptRefused(found->second,
                      Refusal{RefusalCode::kUpstreamUnreachable, event.vm + " took no connection",
-                             Ran::kNo, kRetrySoonMs});
+                             Ran::kNo, kShortRetryMs});
     }
   }
   OfferFailed(event.vm);
@@ -328,14 +332,14 @@
     const auto [deadline, id] = *deadlines_.begin();
     EntryCall& call = calls_.at(id);
     const bool is_sent = call.state == CallState::kSent;
-    if (is_sent && now_ < deadline + options_.answer_grace_ms) break;
+    if (is_sent && now_ < deadline + options_.refusal_grace_ms) break;
     if (is_sent) {
       AttemptLost(call, Refusal{RefusalCode::kDeadlinePassed,
                                 "the upstream gave no answer before the deadline", Ran::kUnknown,
-                                kRetrySoonMs});
+                                kShortRetryMs});
     } else {
       Refuse(call, Refusal{RefusalCode::kDeadlinePassed, "the deadline passed before it was sent",
-                           Ran::kNo, kRetrySoonMs});
+                           Ran::kNo, kShortRetryMs});
     }
   }
 }
--- a/src/core/entry_routing.cc
+++ b/src/core/entry_routing.cc
@@ -8,14 +8,14 @@
 namespace junctionrail::internal {
 namespace {
 
-constexpr DurationMs kColdGuessMs = 5000;  // Of a replica nobody reported on.
-constexpr DurationMs kOtherHallMs = 2;     // What leaving the data hall costs.
-constexpr DurationMs kEqualWithinMs = 5;   // Estimates this close count as equal.
+constexpr DurationMs kAssumedColdStartMs = 5000;  // Of a replica nobody reported on.
+constexpr DurationMs kOtherDataHallMs = 2;        // What leaving the data hall costs.
+constexpr DurationMs kEqualEstimateMs = 5;        // Estimates this close count as equal.
 constexpr DurationMs kUsPerMs = 1000;
 constexpr double kPerCallMs = 0.5;  // Breaks ties by own calls in flight.
-constexpr DurationMs kRetrySoonMs = 200;
-constexpr DurationMs kLeavingWordMs = 500;
-constexpr std::uint32_t kMostEjectionDoublings = 10;
+constexpr DurationMs kShortRetryMs = 200;
+constexpr DurationMs kReportedLeavingMs = 500;
+constexpr std::uint32_t kMaxEjectionDoublings = 10;
 
 std::string_view StateName(ReplicaState state) {
   switch (state) {
@@ -64,8 +64,8 @@
 }
 
 // Why an upstream cannot take this call now; nothing when it can.
-std::optional<std::string> EntryImpl::Unusable(const EntryCall& call,
-                                               const Upstream& upstream) const {
+std::optional<std::string> EntryImpl::UnusableReason(const EntryCall& call,
+                                                     const Upstream& upstream) const {
   if (!upstream.is_listed) return "gone from the platform's list";
   if (IsLeaving(upstream)) return "leaving";
   if (call.tried.count(upstream.info.vm) > 0) return "did not run this call before";
@@ -82,18 +82,18 @@
 }
 
 Candidate EntryImpl::Estimate(const std::string& key, const Upstream& upstream) const {
-  Candidate candidate{&upstream, kColdGuessMs, ReplicaState::kAbsent};
+  Candidate candidate{&upstream, kAssumedColdStartMs, ReplicaState::kAbsent};
   const auto report = upstream.reports.find(key);
   if (report != upstream.reports.end()) {
-    const UpstreamReport& said = report->second.report;
-    candidate.state = said.state;
+    const UpstreamReport& last = report->second.report;
+    candidate.state = last.state;
     // The report lags: what this entry has sent since stands in line too.
     const std::uint32_t excess =
-        report->second.sent_since - std::min(report->second.sent_since, said.free_places);
+        report->second.sent_since - std::min(report->second.sent_since, last.free_places);
     candidate.estimate_ms =
-        said.wait_ms + static_cast<DurationMs>(excess) * said.per_call_us / kUsPerMs;
+        last.wait_ms + static_cast<DurationMs>(excess) * last.per_call_us / kUsPerMs;
   }
-  if (upstream.info.data_hall != options_.data_hall) candidate.estimate_ms += kOtherHallMs;
+  if (upstream.info.data_hall != options_.data_hall) candidate.estimate_ms += kOtherDataHallMs;
   candidate.estimate_ms += static_cast<DurationMs>(kPerCallMs * upstream.in_flight);
   return candidate;
 }
@@ -103,10 +103,10 @@
   std::vector<Candidate> found;
   std::vector<Candidate> ejected;
   const auto consider = [&](const Upstream& upstream) {
-    const auto why_not = Unusable(call, upstream);
-    if (why_not) return rejected->push_back({upstream.info.vm, *why_not});
+    const auto unusable = UnusableReason(call, upstream);
+    if (unusable) return rejected->push_back({upstream.info.vm, *unusable});
     const Candidate candidate = Estimate(call.key, upstream);
-    if (call.only_loaded && candidate.state != ReplicaState::kLoaded) {
+    if (call.requires_loaded && candidate.state != ReplicaState::kLoaded) {
       return rejected->push_back({upstream.info.vm, "cold, and a cold start is too late"});
     }
     (IsEjected(upstream) ? ejected : found).push_back(candidate);
@@ -143,7 +143,7 @@
       [](const Candidate& a, const Candidate& b) { return a.estimate_ms < b.estimate_ms; });
   std::vector<const Candidate*> equal;
   for (const auto& it : candidates) {
-    if (it.estimate_ms <= best->estimate_ms + kEqualWithinMs) equal.push_back(&it);
+    if (it.estimate_ms <= best->estimate_ms + kEqualEstimateMs) equal.push_back(&it);
   }
   if (equal.size() < 2) return *best;
   std::uniform_int_distribution<std::size_t> any(0, equal.size() - 1);
@@ -153,19 +153,19 @@
 }
 
 // The upstream whose agent remembers this idempotency key.
-const Upstream* EntryImpl::HomeOf(const EntryCall& call) const {
-  const Upstream* home = nullptr;
+const Upstream* EntryImpl::KeyOwnerOf(const EntryCall& call) const {
+  const Upstream* owner = nullptr;
   std::uint64_t most = 0;
   for (const auto& [vm, it] : upstreams_) {
     const bool serves = it.info.role == VmRole::kService && it.info.service == call.call.name &&
                         it.is_listed && !it.info.is_leaving;
     if (!serves) continue;
     const std::uint64_t score = RendezvousScore(call.call.idempotency_key, vm);
-    if (home != nullptr && score <= most) continue;
-    home = &it;
+    if (owner != nullptr && score <= most) continue;
+    owner = &it;
     most = score;
   }
-  return home;
+  return owner;
 }
 
 void EntryImpl::RouteToService(EntryCall& call) {
@@ -173,7 +173,7 @@
   const Upstream* chosen = nullptr;
   std::string why = "the least loaded";
   if (!call.call.idempotency_key.empty()) {
-    chosen = HomeOf(call);
+    chosen = KeyOwnerOf(call);
     why = "the home of its idempotency key";
   } else {
     const auto candidates = CandidatesFor(call, &rejected);
@@ -181,12 +181,12 @@
   }
   if (chosen == nullptr) {
     const Refusal none{RefusalCode::kNoUpstream, "no upstream of this service can take it",
-                       Ran::kNo, kRetrySoonMs};
-    Note(call.call.id, call.key, {}, "no upstream is left", {}, std::move(rejected));
+                       Ran::kNo, kShortRetryMs};
+    RecordDecision(call.call.id, call.key, {}, "no upstream is left", {}, std::move(rejected));
     return Refuse(call, call.last_refusal.value_or(none));
   }
-  Note(call.call.id, call.key, chosen->info.vm, "sent to " + chosen->info.vm + ": " + why, {},
-       std::move(rejected));
+  RecordDecision(call.call.id, call.key, chosen->info.vm, "sent to " + chosen->info.vm + ": " + why,
+                 {}, std::move(rejected));
   SendAttempt(call, *chosen);
 }
 
@@ -201,65 +201,70 @@
                                                     std::to_string(it.estimate_ms) + " ms"});
     }
     const bool is_slow =
-        chosen.state == ReplicaState::kLoaded && chosen.estimate_ms > options_.queue_scale_ms;
-    if (is_slow && HasRoomForSlot(call.key)) BeginPlacement(call.key);
-    Note(call.call.id, call.key, chosen.upstream->info.vm,
-         "sent to " + chosen.upstream->info.vm + ": " + std::string(StateName(chosen.state)) +
-             ", estimated " + std::to_string(chosen.estimate_ms) + " ms",
-         "deadline_left_ms=" + std::to_string(call.deadline_at - now_), std::move(rejected));
+        chosen.state == ReplicaState::kLoaded && chosen.estimate_ms > options_.scale_up_wait_ms;
+    if (is_slow && CanAddSlot(call.key)) BeginPlacement(call.key);
+    RecordDecision(
+        call.call.id, call.key, chosen.upstream->info.vm,
+        "sent to " + chosen.upstream->info.vm + ": " + std::string(StateName(chosen.state)) +
+            ", estimated " + std::to_string(chosen.estimate_ms) + " ms",
+        "deadline_left_ms=" + std::to_string(call.deadline_at - now_), std::move(rejected));
     return SendAttempt(call, *chosen.upstream);
   }
   if (!rejected.empty()) {
-    Note(call.call.id, call.key, {}, "no replica can take it now", {}, std::move(rejected));
+    RecordDecision(call.call.id, call.key, {}, "no replica can take it now", {},
+                   std::move(rejected));
   }
-  if (!call.only_loaded && HasRoomForSlot(call.key)) return WaitForPlacement(call);
+  if (!call.requires_loaded && CanAddSlot(call.key)) return WaitForPlacement(call);
   // A slot may be on its way back; it is worth a short wait, but only once.
-  const bool may_come_free =
+  const bool may_be_released =
       call.last_refusal && (call.last_refusal->code == RefusalCode::kNoMemory ||
                             call.last_refusal->code == RefusalCode::kNotGranted);
-  if (may_come_free && call.wait_until == 0) call.wait_until = now_ + options_.free_wait_ms;
-  if (may_come_free && now_ < call.wait_until) {
+  if (may_be_released && call.wait_until == 0)
+    call.wait_until = now_ + options_.slot_release_wait_ms;
+  if (may_be_released && now_ < call.wait_until) {
     waiters_[call.key].push_back(call.call.id);
     return;
   }
   const Refusal none{RefusalCode::kNoUpstream, "every replica's upstream is leaving or away",
-                     Ran::kNo, kRetrySoonMs};
+                     Ran::kNo, kShortRetryMs};
   Refuse(call, call.last_refusal.value_or(none));
 }
 
-void EntryImpl::TakeReport(const std::string& vm, const std::string& key,
-                           const UpstreamReport& report) {
+void EntryImpl::StoreReport(const std::string& vm, const std::string& key,
+                            const UpstreamReport& report) {
   const auto it = upstreams_.find(vm);
   if (it == upstreams_.end()) return;
-  it->second.reports[key] = HeardReport{report, 0};
-  SaysLeaving(vm, report.leaving);
+  it->second.reports[key] = LastReport{report, 0};
+  SetReportedLeaving(vm, report.leaving);
 }
 
 // The platform's list lags, so an agent's own word counts for a while; then it
 // is tried again, for its process may only have been restarted.
-void EntryImpl::SaysLeaving(const std::string& vm, bool is_leaving) {
-  upstreams_[vm].leaving_until = is_leaving ? now_ + kLeavingWordMs : 0;
+void EntryImpl::SetReportedLeaving(const std::string& vm, bool is_leaving) {
+  upstreams_[vm].leaving_until = is_leaving ? now_ + kReportedLeavingMs : 0;
 }
 
-void EntryImpl::Succeeded(const std::string& vm) {
+void EntryImpl::RecordSuccess(const std::string& vm) {
   const auto it = upstreams_.find(vm);
   if (it == upstreams_.end()) return;
   it->second.failures = 0;
   it->second.ejections = 0;
 }
 
-void EntryImpl::Failed(const std::string& vm, std::string_view reason) {
+void EntryImpl::RecordFailure(const std::string& vm, std::string_view reason) {
   const auto it = upstreams_.find(vm);
   if (it == upstreams_.end()) return;
   Upstream& upstream = it->second;
-  if (++upstream.failures < options_.eject_after || IsEjected(upstream)) return;
-  const std::uint32_t doublings = std::min(upstream.ejections, kMostEjectionDoublings);
-  const DurationMs time = std::min(options_.eject_ms << doublings, options_.eject_most_ms);
+  if (++upstream.failures < options_.ejection_threshold || IsEjected(upstream)) return;
+  const std::uint32_t doublings = std::min(upstream.ejections, kMaxEjectionDoublings);
+  const DurationMs time =
+      std::min(options_.base_ejection_ms << doublings, options_.max_ejection_ms);
   upstream.ejected_until = now_ + time;
   ++upstream.ejections;
   ++counters_.ejections;
-  Note({}, {}, vm, vm + " is ejected for " + std::to_string(time) + " ms: " + std::string(reason),
-       "failures_in_a_row=" + std::to_string(upstream.failures));
+  RecordDecision({}, {}, vm,
+                 vm + " is ejected for " + std::to_string(time) + " ms: " + std::string(reason),
+                 "failures_in_a_row=" + std::to_string(upstream.failures));
 }
 
 std::uint32_t EntryImpl::InFlight(std::string_view vm) const {
--- a/src/core/answer_table.cc
+++ b/src/core/idempotency_table.cc
@@ -1,29 +1,29 @@
-#include "answer_table.h"
+#include "idempotency_table.h"
 
 #include <cctype>
 #include <charconv>
 
 namespace junctionrail::internal {
 
-StoredAnswer* AnswerTable::Find(std::string_view key) {
+IdempotencyRow* IdempotencyTable::Find(std::string_view key) {
   const auto it = rows_.find(key);
   return it == rows_.end() ? nullptr : &it->second;
 }
 
-StoredAnswer* AnswerTable::Open(const std::string& key, std::uint64_t fingerprint,
-                                TimeMs expires_at) {
+IdempotencyRow* IdempotencyTable::Insert(const std::string& key, std::uint64_t fingerprint,
+                                         TimeMs expires_at) {
   if (rows_.size() >= max_rows_ || bytes_ >= max_bytes_) return nullptr;
-  StoredAnswer& row = rows_[key];
+  IdempotencyRow& row = rows_[key];
   row.fingerprint = fingerprint;
   row.expires_at = expires_at;
   return &row;
 }
 
-bool AnswerTable::Append(StoredAnswer* row, std::string_view data) {
+bool IdempotencyTable::Append(IdempotencyRow* row, std::string_view data) {
   if (bytes_ + data.size() > max_bytes_) {
     bytes_ -= row->body.size();
     row->body.clear();
-    row->state = AnswerState::kUnknown;
+    row->state = IdempotencyState::kUnknown;
     return false;
   }
   row->body += data;
@@ -31,16 +31,16 @@
   return true;
 }
 
-void AnswerTable::Forget(std::string_view key) {
+void IdempotencyTable::Erase(std::string_view key) {
   const auto it = rows_.find(key);
   if (it == rows_.end()) return;
   bytes_ -= it->second.body.size();
   rows_.erase(it);
 }
 
-void AnswerTable::DropExpired(TimeMs now) {
+void IdempotencyTable::EraseExpired(TimeMs now) {
   for (auto it = rows_.begin(); it != rows_.end();) {
-    const bool keep = it->second.state == AnswerState::kRunning || it->second.expires_at > now;
+    const bool keep = it->second.state == IdempotencyState::kRunning || it->second.expires_at > now;
     if (keep) {
       ++it;
       continue;
--- a/src/core/idle_policy.cc
+++ b/src/core/idle_policy.cc
@@ -63,12 +63,12 @@
 }  // namespace
 
 void ArrivalHistory::AddGap(DurationMs gap) {
-  if (gaps_.size() < kMostGaps) {
+  if (gaps_.size() < kMaxGaps) {
     gaps_.push_back(gap);
     return;
   }
   gaps_[next_] = gap;
-  next_ = (next_ + 1) % kMostGaps;
+  next_ = (next_ + 1) % kMaxGaps;
 }
 
 DurationMs IdleLimit(const IdlePolicy& policy, const ArrivalHistory& history, DurationMs load_ms) {
--- a/src/daemon/agent_daemon.cc
+++ b/src/daemon/agent_daemon.cc
@@ -57,9 +57,9 @@
   void Carry(const agent::SendFrame& command);
   void Carry(agent::Dispatch command);
   void Carry(const agent::CancelDispatch& command);
-  void Carry(const agent::OrderLoad& command);
-  void Carry(const agent::OrderUnload& command);
-  void Carry(const agent::AskInventory& command);
+  void Carry(const agent::LoadModel& command);
+  void Carry(const agent::UnloadModel& command);
+  void Carry(const agent::QueryInventory& command);
   void Carry(const agent::FenceEngine& command);
   void Carry(const agent::FreeGrant& command);
   void Carry(const agent::ReadGrants& command);
@@ -190,10 +190,10 @@
   };
   callbacks.header = [this, is_refusal](const HttpHeader& header) {
     const DurationMs rest_ms = *is_refusal ? RestOf(header) : 0;
-    if (rest_ms > 0) Handle(agent::UpstreamRests{rest_ms});
+    if (rest_ms > 0) Handle(agent::UpstreamBackoff{rest_ms});
   };
   callbacks.piece = [this, id](std::string data) {
-    Handle(agent::UpstreamPiece{id, std::move(data)});
+    Handle(agent::UpstreamChunk{id, std::move(data)});
   };
   callbacks.done = [this, id] {
     dispatched_.erase(id);
@@ -213,23 +213,26 @@
   dispatched_.erase(it);
 }
 
-void AgentDaemon::Impl::Carry(const agent::OrderLoad& command) {
+void AgentDaemon::Impl::Carry(const agent::LoadModel& command) {
   spdlog::info("load {} on accelerator {}", command.key, command.accelerator);
-  engine_.Load(command, [this, key = command.key, order = command.order](OrderResult result) {
-    spdlog::info("load {} {}", key, result.outcome == OrderOutcome::kDone ? "done" : result.detail);
-    Handle(agent::LoadEnded{key, order, result.outcome, std::move(result.detail)});
-  });
+  engine_.Load(command,
+               [this, key = command.key, order = command.operation_id](OrderResult result) {
+                 spdlog::info("load {} {}", key,
+                              result.outcome == OperationOutcome::kDone ? "done" : result.detail);
+                 Handle(agent::LoadEnded{key, order, result.outcome, std::move(result.detail)});
+               });
 }
 
-void AgentDaemon::Impl::Carry(const agent::OrderUnload& command) {
+void AgentDaemon::Impl::Carry(const agent::UnloadModel& command) {
   spdlog::info("unload {}", command.key);
-  engine_.Unload(command, [this, key = command.key, order = command.order](OrderResult result) {
-    Handle(agent::UnloadEnded{key, order, result.outcome});
-  });
+  engine_.Unload(command,
+                 [this, key = command.key, order = command.operation_id](OrderResult result) {
+                   Handle(agent::UnloadEnded{key, order, result.outcome});
+                 });
 }
 
-void AgentDaemon::Impl::Carry(const agent::AskInventory& command) {
-  engine_.Inventory([this, asked = command.asked](std::optional<EngineInventory> inventory) {
+void AgentDaemon::Impl::Carry(const agent::QueryInventory& command) {
+  engine_.Inventory([this, asked = command.query_id](std::optional<EngineInventory> inventory) {
     if (!inventory) return Handle(agent::InventoryFailed{});
     Handle(agent::InventoryArrived{asked, std::move(inventory->accelerators_mb),
                                    std::move(inventory->models)});
@@ -237,7 +240,7 @@
 }
 
 void AgentDaemon::Impl::Carry(const agent::FenceEngine& command) {
-  engine_.Fence(command.order, [this](bool ok) { Handle(agent::FenceDone{ok}); });
+  engine_.Fence(command.operation_id, [this](bool ok) { Handle(agent::FenceDone{ok}); });
 }
 
 void AgentDaemon::Impl::Carry(const agent::FreeGrant& command) {
@@ -339,7 +342,7 @@
     page.Gauge("junctionrail_replica_loaded", "Whether the upstream holds the replica.",
                it.state == ReplicaState::kLoaded ? 1 : 0, {{"key", it.key}});
   }
-  AddShared(core_.present(), links_.open_links(), bad_frames_, kv_.counters(), &page);
+  AddShared(core_.open_requests(), links_.open_links(), bad_frames_, kv_.counters(), &page);
   return page.text();
 }
 
@@ -348,7 +351,7 @@
 void AgentDaemon::Impl::Stop() {
   if (is_stopping_) return;
   is_stopping_ = true;
-  spdlog::info("agent {} stops: {} calls to finish", settings_.id, core_.present());
+  spdlog::info("agent {} stops: {} calls to finish", settings_.id, core_.open_requests());
   stop_limit_.After(settings_.drain_ms, [this] { Finish(); });
   Handle(agent::LeaveRequested{false, "a planned stop of this process"});
 }
@@ -356,7 +359,8 @@
 void AgentDaemon::Impl::Finish() {
   if (is_finished_) return;
   is_finished_ = true;
-  spdlog::info("agent {} has stopped with {} calls unfinished", settings_.id, core_.present());
+  spdlog::info("agent {} has stopped with {} calls unfinished", settings_.id,
+               core_.open_requests());
   tick_.Cancel();
   stop_limit_.Cancel();
   vm_list_.Stop();
--- a/src/daemon/engine_client.cc
+++ b/src/daemon/engine_client.cc
@@ -96,25 +96,26 @@
   call.is_fresh = true;
   FetchWhole(http_, std::move(call), [done = std::move(done)](const HttpAnswer& answer) {
     if (answer.status == 0) {
-      const OrderOutcome outcome =
-          answer.was_sent ? OrderOutcome::kUnknown : OrderOutcome::kRefused;
+      const OperationOutcome outcome =
+          answer.was_sent ? OperationOutcome::kUnknown : OperationOutcome::kRefused;
       return done(OrderResult{outcome, answer.reason, false});
     }
     const bool is_refused = answer.status >= kFirstError;
-    done(OrderResult{is_refused ? OrderOutcome::kRefused : OrderOutcome::kDone, answer.body, true});
+    done(OrderResult{is_refused ? OperationOutcome::kRefused : OperationOutcome::kDone, answer.body,
+                     true});
   });
 }
 
-void EngineClient::Load(const agent::OrderLoad& order, std::function<void(OrderResult)> done) {
+void EngineClient::Load(const agent::LoadModel& order, std::function<void(OrderResult)> done) {
   json parameters = {{"accelerator", order.accelerator},
                      {"memory_mb", order.memory_mb},
-                     {"fencing_token", order.order}};
+                     {"fencing_token", order.operation_id}};
   if (!order.base.empty()) parameters["base"] = order.base;
   Order(order.key, "load", json{{"parameters", parameters}}.dump(), std::move(done));
 }
 
-void EngineClient::Unload(const agent::OrderUnload& order, std::function<void(OrderResult)> done) {
-  const json parameters = {{"fencing_token", order.order}};
+void EngineClient::Unload(const agent::UnloadModel& order, std::function<void(OrderResult)> done) {
+  const json parameters = {{"fencing_token", order.operation_id}};
   Order(order.key, "unload", json{{"parameters", parameters}}.dump(), std::move(done));
 }
 
--- a/src/daemon/engine_client.h
+++ b/src/daemon/engine_client.h
@@ -24,7 +24,7 @@
 };
 
 struct OrderResult {
-  OrderOutcome outcome = OrderOutcome::kDone;
+  OperationOutcome outcome = OperationOutcome::kDone;
   std::string detail;
   bool was_answered = false;  // Whether the engine itself said so.
 };
@@ -34,8 +34,8 @@
   EngineClient(HttpClient& http, Endpoint engine) : http_(http), engine_(std::move(engine)) {}
 
   void Inventory(std::function<void(std::optional<EngineInventory>)> done);
-  void Load(const agent::OrderLoad& order, std::function<void(OrderResult)> done);
-  void Unload(const agent::OrderUnload& order, std::function<void(OrderResult)> done);
+  void Load(const agent::LoadModel& order, std::function<void(OrderResult)> done);
+  void Unload(const agent::UnloadModel& order, std::function<void(OrderResult)> done);
   // Makes the engine refuse every order older than `token`.
   void Fence(std::int64_t token, std::function<void(bool)> done);
 
--- a/src/daemon/entry_daemon.cc
+++ b/src/daemon/entry_daemon.cc
@@ -48,12 +48,12 @@
   void Handle(entry::Event event);
   void Carry(const entry::CallEnded& command);
   void Carry(entry::SendFrame command);
-  void Carry(const entry::AnswerHead& command);
-  void Carry(entry::AnswerPiece command);
-  void Carry(const entry::AnswerEnd& command);
-  void Carry(entry::AnswerWhole command);
-  void Carry(const entry::AnswerRefusal& command);
-  void Carry(const entry::AnswerBroken& command);
+  void Carry(const entry::SendResponseHead& command);
+  void Carry(entry::SendResponseChunk command);
+  void Carry(const entry::EndResponse& command);
+  void Carry(entry::SendResponse command);
+  void Carry(const entry::SendRefusal& command);
+  void Carry(const entry::AbortResponse& command);
   void Carry(const entry::WriteGrant& command);
   void Carry(const entry::ReadGrant& command);
   void Carry(const entry::ReadConfiguration& command);
@@ -86,7 +86,7 @@
   std::unordered_map<std::string, Waiting> waiting_;
   std::map<std::string, std::function<void(AgentRecords)>> asked_;
   BadFrames bad_frames_;
-  BurnLedger burn_;
+  BurnTracker burn_;
   ValueSeries first_byte_ms_;
   ValueSeries whole_ms_;
   std::uint64_t calls_ = 0;
@@ -147,7 +147,7 @@
     Handle(entry::ConfigurationRead{std::move(it)});
   };
   callbacks.change = [this](ConfigChange it) {
-    Handle(entry::ConfigurationLogged{std::move(it)});
+    Handle(entry::ConfigurationChanged{std::move(it)});
     Compact();
   };
   callbacks.grant = [this](GrantRecord it) { Handle(entry::GrantChanged{std::move(it)}); };
@@ -191,9 +191,9 @@
 void EntryDaemon::Impl::Carry(const entry::CallEnded& command) {
   const Objectives* objectives = FindObjectives(core_.configuration(), command.key);
   if (objectives == nullptr) return;
-  const BurnCounts one = command.is_answered
-                             ? JudgeAnswer(*objectives, command.first_ms, command.was_cold)
-                             : JudgeFailure(RefusalName(command.code));
+  const BurnCounts one =
+      command.is_answered ? ClassifyResponse(*objectives, command.first_byte_ms, command.was_cold)
+                          : ClassifyFailure(RefusalName(command.code));
   burn_.Add(MonotonicMs(), command.key, one);
 }
 
@@ -222,19 +222,19 @@
   first_byte_ms_.Add(static_cast<double>(MonotonicMs() - waiting->arrived_at));
 }
 
-void EntryDaemon::Impl::Carry(const entry::AnswerHead& command) {
+void EntryDaemon::Impl::Carry(const entry::SendResponseHead& command) {
   const auto it = waiting_.find(command.id);
   if (it == waiting_.end()) return;
   NoteFirst(&it->second);
   it->second.responder->Begin(command.status, AnswerHeaders(command.id, command.content_type));
 }
 
-void EntryDaemon::Impl::Carry(entry::AnswerPiece command) {
+void EntryDaemon::Impl::Carry(entry::SendResponseChunk command) {
   const auto it = waiting_.find(command.id);
   if (it != waiting_.end()) it->second.responder->Piece(std::move(command.data));
 }
 
-void EntryDaemon::Impl::Carry(const entry::AnswerEnd& command) {
+void EntryDaemon::Impl::Carry(const entry::EndResponse& command) {
   const auto it = waiting_.find(command.id);
   if (it == waiting_.end()) return;
   whole_ms_.Add(static_cast<double>(MonotonicMs() - it->second.arrived_at));
@@ -242,7 +242,7 @@
   waiting_.erase(it);
 }
 
-void EntryDaemon::Impl::Carry(entry::AnswerWhole command) {
+void EntryDaemon::Impl::Carry(entry::SendResponse command) {
   const auto it = waiting_.find(command.id);
   if (it == waiting_.end()) return;
   NoteFirst(&it->second);
@@ -252,7 +252,7 @@
   waiting_.erase(it);
 }
 
-void EntryDaemon::Impl::Carry(const entry::AnswerRefusal& command) {
+void EntryDaemon::Impl::Carry(const entry::SendRefusal& command) {
   const auto it = waiting_.find(command.id);
   if (it == waiting_.end()) return;
   it->second.responder->Whole(RefusalStatus(command.refusal),
@@ -261,7 +261,7 @@
   waiting_.erase(it);
 }
 
-void EntryDaemon::Impl::Carry(const entry::AnswerBroken& command) {
+void EntryDaemon::Impl::Carry(const entry::AbortResponse& command) {
   const auto it = waiting_.find(command.id);
   if (it == waiting_.end()) return;
   it->second.responder->Piece("data: " + RefusalBody(command.refusal, command.id) + "\n\n");
@@ -273,17 +273,18 @@
   const std::string key = command.record.key;
   WriteGrantRecord(kv_, command.record,
                    [self = shared_from_this(), key](Result<GrantWrite, KvError> write) {
-                     if (!write) return self->Handle(entry::GrantSettled{key, false, false, {}});
-                     self->Handle(entry::GrantSettled{key, write.value().is_written, true,
-                                                      std::move(write.value().record)});
+                     if (!write)
+                       return self->Handle(entry::GrantOperationEnded{key, false, false, {}});
+                     self->Handle(entry::GrantOperationEnded{key, write.value().is_written, true,
+                                                             std::move(write.value().record)});
                    });
 }
 
 void EntryDaemon::Impl::Carry(const entry::ReadGrant& command) {
   const std::string key = command.key;
   ReadGrantRecord(kv_, key, [self = shared_from_this(), key](Result<GrantRecord, KvError> read) {
-    if (!read) return self->Handle(entry::GrantSettled{key, false, false, {}});
-    self->Handle(entry::GrantSettled{key, false, true, std::move(read.value())});
+    if (!read) return self->Handle(entry::GrantOperationEnded{key, false, false, {}});
+    self->Handle(entry::GrantOperationEnded{key, false, true, std::move(read.value())});
   });
 }
 
@@ -334,7 +335,7 @@
   responder->OnGone([weak = weak_from_this(), id] {
     const auto self = weak.lock();
     if (!self || self->waiting_.erase(id) == 0) return;
-    self->Handle(entry::CallerGone{id});
+    self->Handle(entry::CallerDisconnected{id});
   });
 }
 
@@ -423,11 +424,11 @@
 OperatorHooks EntryDaemon::Impl::Hooks() {
   OperatorHooks hooks;
   hooks.core = [this]() -> const EntryCore& { return core_; };
-  hooks.burn = [this]() -> const BurnLedger& { return burn_; };
+  hooks.burn = [this]() -> const BurnTracker& { return burn_; };
   hooks.is_kv_reachable = [this] { return keeper_->IsReachable(); };
   hooks.accept = [this](const ConfigChange& change, AcceptDone done) {
     AcceptChange(kv_, change, [this, change, done = std::move(done)](AcceptOutcome outcome) {
-      if (outcome == AcceptOutcome::kAccepted) Handle(entry::ConfigurationLogged{change});
+      if (outcome == AcceptOutcome::kAccepted) Handle(entry::ConfigurationChanged{change});
       done(outcome);
     });
   };
@@ -458,7 +459,7 @@
              static_cast<double>(core_.configuration().version()));
   page.Counter("junctionrail_bad_calls_total", "Calls that were wrong in themselves.",
                bad_calls_ + server_.bad_requests());
-  AddShared(core_.present(), links_.open_links(), bad_frames_, kv_.counters(), &page);
+  AddShared(core_.open_calls(), links_.open_links(), bad_frames_, kv_.counters(), &page);
   return page.text();
 }
 
@@ -466,15 +467,15 @@
 
 void EntryDaemon::Impl::Stop() {
   if (core_.IsStopping()) return;
-  spdlog::info("entry {} stops: {} calls to finish", settings_.id, core_.present());
+  spdlog::info("entry {} stops: {} calls to finish", settings_.id, core_.open_calls());
   Handle(entry::StopRequested{});
   stop_by_ = MonotonicMs() + settings_.drain_ms;
   stop_check_.Every(kStopCheckMs, [self = shared_from_this()] { self->FinishStop(); });
 }
 
 void EntryDaemon::Impl::FinishStop() {
-  if (core_.present() > 0 && MonotonicMs() < stop_by_) return;
-  spdlog::info("entry {} has stopped with {} calls unfinished", settings_.id, core_.present());
+  if (core_.open_calls() > 0 && MonotonicMs() < stop_by_) return;
+  spdlog::info("entry {} has stopped with {} calls unfinished", settings_.id, core_.open_calls());
   stop_check_.Cancel();
   tick_.Cancel();
   idle_check_.Cancel();
--- a/src/daemon/operator_service.cc
+++ b/src/daemon/operator_service.cc
@@ -51,7 +51,7 @@
   out->set_request(record.request);
   out->set_key(record.key);
   out->set_vm(record.vm);
-  out->set_sentence(record.sentence);
+  out->set_sentence(record.message);
   out->set_inputs(record.inputs);
   out->set_config_version(record.config_version);
   for (const auto& it : record.rejected) {
@@ -84,11 +84,11 @@
 // A request's records, and those of its model from its arrival to its end: the
 // placement it waited for has no request of its own.
 std::vector<DecisionRecord> RecordsFor(const DecisionLog& log, const std::string& subject) {
-  std::vector<DecisionRecord> records = log.About(subject);
+  std::vector<DecisionRecord> records = log.RecordsAbout(subject);
   if (records.empty() || records.front().request.empty()) return records;
   const TimeMs first = records.front().at;
   const TimeMs last = records.back().at;
-  for (auto& it : log.About(records.front().key)) {
+  for (auto& it : log.RecordsAbout(records.front().key)) {
     const bool is_meanwhile = it.request.empty() && it.at >= first && it.at <= last;
     if (is_meanwhile) records.push_back(std::move(it));
   }
@@ -110,7 +110,7 @@
     const rpc::BurnWindow& window = from.windows(static_cast<int>(n));
     BurnCounts counts;
     for (int cause = 0; cause < window.by_cause_size(); ++cause) {
-      if (cause < static_cast<int>(kBurnCauses)) {
+      if (cause < static_cast<int>(kBurnCauseCount)) {
         counts.by_cause[static_cast<std::size_t>(cause)] = window.by_cause(cause);
       }
     }
@@ -123,7 +123,8 @@
 // A name that is no longer declared is judged by the default objectives.
 void FillWindow(std::string_view name, const BurnCounts& counts, const Objectives* objectives,
                 rpc::BurnWindow* out) {
-  const BurnRates rates = RatesOf(counts, objectives == nullptr ? Objectives() : *objectives);
+  const BurnRates rates =
+      ComputeBurnRates(counts, objectives == nullptr ? Objectives() : *objectives);
   out->set_name(std::string(name));
   for (const auto it : counts.by_cause) out->add_by_cause(it);
   out->set_cold_starts(counts.cold_starts);
@@ -323,7 +324,7 @@
     status.set_vm(vm_);
     status.set_config_version(core.configuration().version());
     status.set_kv_reachable(hooks_.is_kv_reachable());
-    status.set_present(core.present());
+    status.set_present(core.open_calls());
     for (const auto& it : core.vms().vms) {
       if (it.role != VmRole::kEntry) continue;
       auto* entry = status.add_entries();
@@ -337,7 +338,7 @@
       upstream->set_data_hall(it.vm.data_hall);
       upstream->set_role(it.vm.role == VmRole::kEngine ? "engine" : "service");
       upstream->set_service(it.vm.service);
-      upstream->set_leaving(it.vm.is_leaving || it.says_leaving);
+      upstream->set_leaving(it.vm.is_leaving || it.reported_leaving);
       upstream->set_ejected(it.is_ejected);
       upstream->set_in_flight(it.in_flight);
     }
@@ -472,7 +473,7 @@
 grpc::Status OperatorServer::Impl::Burn(grpc::ServerContext*, const rpc::BurnRequest* request,
                                         rpc::BurnReply* reply) {
   struct Seen {
-    std::vector<BurnLedger::Entry> own;
+    std::vector<BurnTracker::Entry> own;
     std::vector<VmInfo> vms;
     Configuration configuration;
   };
@@ -499,7 +500,7 @@
     reply->set_entries(reply->entries() + 1);
     for (const auto& key : answer.keys()) AddWindows(key, &sums[key.key()]);
   }
-  for (std::size_t n = 0; n < kBurnCauses; ++n) {
+  for (std::size_t n = 0; n < kBurnCauseCount; ++n) {
     reply->add_causes(std::string(BurnCauseName(static_cast<BurnCause>(n))));
   }
   for (const auto& [key, windows] : sums) {
--- a/src/daemon/operator_service.h
+++ b/src/daemon/operator_service.h
@@ -20,7 +20,7 @@
 }
 
 namespace junctionrail {
-class BurnLedger;
+class BurnTracker;
 class EntryCore;
 }  // namespace junctionrail
 
@@ -33,7 +33,7 @@
 // thread, and every `done` is called once, on any thread.
 struct OperatorHooks {
   std::function<const EntryCore&()> core;
-  std::function<const BurnLedger&()> burn;
+  std::function<const BurnTracker&()> burn;
   std::function<bool()> is_kv_reachable;
   std::function<void(ConfigChange, AcceptDone)> accept;
   std::function<bool(const std::string& vm, const std::string& reason)> drain;
--- a/test/agent_core_test.cc
+++ b/test/agent_core_test.cc
@@ -41,8 +41,8 @@
   void Handle(agent::Event event) { core.Handle(now, std::move(event), &commands); }
 
   void Inventory(std::vector<EngineModel> models) {
-    const auto* ask = Last<agent::AskInventory>();
-    Handle(agent::InventoryArrived{ask == nullptr ? 0 : ask->asked, {1000}, std::move(models)});
+    const auto* ask = Last<agent::QueryInventory>();
+    Handle(agent::InventoryArrived{ask == nullptr ? 0 : ask->query_id, {1000}, std::move(models)});
   }
 
   void Call(const std::string& id, const std::string& key, DurationMs deadline = 60000,
@@ -78,8 +78,8 @@
   }
 
   void FinishLoad() {
-    const agent::OrderLoad load = *Last<agent::OrderLoad>();
-    Handle(agent::LoadEnded{load.key, load.order, OrderOutcome::kDone, ""});
+    const agent::LoadModel load = *Last<agent::LoadModel>();
+    Handle(agent::LoadEnded{load.key, load.operation_id, OperationOutcome::kDone, ""});
   }
 
   // The code an attempt was refused with; empty when it was not.
@@ -99,30 +99,30 @@
 
 }  // namespace
 
-TEST_GROUP(AgentWakes) { Fixture agent; };
+TEST_GROUP(AgentLoads) { Fixture agent; };
 
-TEST(AgentWakes, OneLoadForEveryCallThatWaits) {
+TEST(AgentLoads, SharesOneLoadAmongWaitingCalls) {
   agent.Call("1", "a@1");
   agent.Call("2", "a@1");
-  EXPECT_NUMBER(1, agent.Count<agent::OrderLoad>(), "one flight a model");
+  EXPECT_NUMBER(1, agent.Count<agent::LoadModel>(), "one flight a model");
   agent.FinishLoad();
   EXPECT_NUMBER(1, agent.Count<agent::Dispatch>(), "max_concurrent is 1");
-  EXPECT_NUMBER(2, agent.core.present(), "the second waits");
+  EXPECT_NUMBER(2, agent.core.open_requests(), "the second waits");
 }
 
-TEST(AgentWakes, AndRefusesACallItsLoadWouldBeTooLateFor) {
+TEST(AgentLoads, RefusesACallWhoseDeadlineTheLoadWouldMiss) {
   agent.Call("1", "a@1", 100);  // 600 MB from remote are assumed to take 234 ms.
   EXPECT_TEXT("cold_too_late", agent.RefusalOf("1"), "see AdmitToEngine");
-  EXPECT_NUMBER(1, agent.Count<agent::OrderLoad>(), "the load goes on for the next caller");
+  EXPECT_NUMBER(1, agent.Count<agent::LoadModel>(), "the load goes on for the next caller");
 }
 
-TEST(AgentWakes, AndRefusesWaitersOnceTheLoadHasSlipped) {
+TEST(AgentLoads, RefusesWaitingCallsWhenTheLoadIsOverdue) {
   agent.Call("1", "a@1", 300);
   agent.Tick(250);  // The load has taken more than 234 ms, so a quarter more is expected.
   EXPECT_TEXT("cold_too_late", agent.RefusalOf("1"), "an overdue load is re-estimated");
 }
 
-TEST(AgentWakes, LearnsHowFastATierIs) {
+TEST(AgentLoads, EstimatesLoadTimesFromMeasurementsOfTheTier) {
   agent.Call("1", "a@1", 60000, Priority::kNormal, 300);
   agent.now += 30;  // 300 MB were assumed to take 117 ms from remote.
   agent.FinishLoad();
@@ -130,23 +130,23 @@
   EXPECT_TEXT("", agent.RefusalOf("2"), "a model never loaded here will take 30 ms as well");
 }
 
-TEST(AgentWakes, OnlyWhatItHoldsAGrantFor) {
+TEST(AgentLoads, RefusesAModelWithoutAGrant) {
   agent.Call("1", "d@1");
   EXPECT_TEXT("not_granted", agent.RefusalOf("1"), "token 1 of d@1 was another VM's at the start");
 }
 
-TEST(AgentWakes, ByANewGrantWithoutAskingTheService) {
+TEST(AgentLoads, AcceptsANewGrantWithoutReadingTheStore) {
   CallFrame call;
   call.id = "1";
   call.key = "z@1";
   call.deadline_ms = 60000;
   call.grants = {GrantView{"z@1", 0, 5, 100, "", 1}};
   agent.Handle(agent::FrameArrived{1, call});
-  EXPECT_NUMBER(1, agent.Count<agent::OrderLoad>(), "token 5 is newer than any known at the start");
+  EXPECT_NUMBER(1, agent.Count<agent::LoadModel>(), "token 5 is newer than any known at the start");
   EXPECT_NUMBER(0, agent.Count<agent::ReadGrants>(), "nothing is read to wake it");
 }
 
-TEST_GROUP(AgentQueues) {
+TEST_GROUP(AgentQueue) {
   Fixture agent;
   void setup() override {
     agent.Call("first", "a@1");
@@ -154,36 +154,36 @@
   }
 };
 
-TEST(AgentQueues, TheHigherClassGoesFirst) {
+TEST(AgentQueue, DispatchesHigherPriorityFirst) {
   agent.Call("low", "a@1", 60000, Priority::kLow);
   agent.Call("high", "a@1", 60000, Priority::kHigh);
   agent.Handle(agent::UpstreamEnd{"first"});
   EXPECT_TEXT("high", agent.Last<agent::Dispatch>()->id, "class before arrival");
 }
 
-TEST(AgentQueues, TheEarlierDeadlineGoesFirstInAClass) {
+TEST(AgentQueue, DispatchesEarlierDeadlineFirstWithinAPriority) {
   agent.Call("late", "a@1", 60000);
   agent.Call("soon", "a@1", 30000);
   agent.Handle(agent::UpstreamEnd{"first"});
   EXPECT_TEXT("soon", agent.Last<agent::Dispatch>()->id, "deadline before arrival");
 }
 
-TEST(AgentQueues, AFullQueueShedsTheLowestClass) {
+TEST(AgentQueue, EvictsTheLowestPriorityWhenFull) {
   for (const char* it : {"1", "2", "3"}) agent.Call(it, "a@1", 60000, Priority::kLow);
   agent.Call("4", "a@1", 60000, Priority::kLow);
   EXPECT_TEXT("queue_full", agent.RefusalOf("4"), "max_queue_requests is 3");
   agent.Call("5", "a@1", 60000, Priority::kHigh);
   EXPECT_TEXT("", agent.RefusalOf("5"), "a higher class takes a place");
-  EXPECT_NUMBER(4, agent.core.present(), "one of the low class made room");
+  EXPECT_NUMBER(4, agent.core.open_requests(), "one of the low class made room");
 }
 
-TEST(AgentQueues, RefusesAtOnceWhatWouldWaitTooLong) {
+TEST(AgentQueue, RefusesCallsThatWouldWaitPastTheirDeadline) {
   agent.Call("1", "a@1", 60000);
   agent.Call("2", "a@1", 150);  // First in the queue, behind a call of an assumed 200 ms.
   EXPECT_TEXT("queue_too_late", agent.RefusalOf("2"), "see QueueRefusal");
 }
 
-TEST(AgentQueues, TellsWhomHigherClassesPushPastTheirDeadlineAtOnce) {
+TEST(AgentQueue, RefusesCallsThatHigherPrioritiesDelayPastTheirDeadline) {
   agent.Call("low", "a@1", 450, Priority::kLow);
   agent.Call("high-1", "a@1", 60000, Priority::kHigh);
   agent.Call("high-2", "a@1", 60000, Priority::kHigh);
@@ -192,7 +192,7 @@
   EXPECT_TEXT("queue_too_late", agent.RefusalOf("low"), "it must not be held until its deadline");
 }
 
-TEST(AgentQueues, SendsNothingThatWouldBeAnsweredTooLate) {
+TEST(AgentQueue, SkipsCallsThatCannotBeAnsweredInTime) {
   agent.now += 100;
   agent.Handle(agent::UpstreamHead{"first", 200, "text/plain"});  // Heads take about 100 ms.
   agent.Call("late", "a@1", 400);
@@ -205,9 +205,9 @@
 }
 
 // Guards against an agent that goes on sending to an upstream which has asked for a rest.
-TEST(AgentQueues, LeaveTheUpstreamTheRestThatItAsksFor) {
+TEST(AgentQueue, PausesDispatchDuringUpstreamBackoff) {
   agent.Call("queued", "a@1", 60000);
-  agent.Handle(agent::UpstreamRests{3000});
+  agent.Handle(agent::UpstreamBackoff{3000});
   agent.Handle(agent::UpstreamEnd{"first"});
   const int before = agent.Count<agent::Dispatch>();
   agent.Call("second", "a@1", 60000);
@@ -218,10 +218,10 @@
   EXPECT_TEXT("queued", agent.Last<agent::Dispatch>()->id, "the rest is over");
 }
 
-TEST(AgentQueues, ACancelledCallLeavesNothing) {
+TEST(AgentQueue, CancelsTheDispatchOfACancelledCall) {
   agent.Handle(agent::FrameArrived{1, CancelFrame{"first"}});
   EXPECT_NUMBER(1, agent.Count<agent::CancelDispatch>(), "the upstream must not go on for nobody");
-  EXPECT_NUMBER(0, agent.core.present(), "nothing is left");
+  EXPECT_NUMBER(0, agent.core.open_requests(), "nothing is left");
 }
 
 TEST_GROUP(AgentMemory) {
@@ -232,45 +232,45 @@
   }
 };
 
-TEST(AgentMemory, IsNotTakenFromAModelInUse) {
+TEST(AgentMemory, IsNotReclaimedFromAModelInUse) {
   agent.Call("2", "b@1");
   EXPECT_TEXT("no_memory", agent.RefusalOf("2"), "a@1 is in use and both do not fit");
   EXPECT_TEXT("b@1", agent.Last<agent::FreeGrant>()->key, "its slot may go where there is room");
 }
 
-TEST(AgentMemory, IsTakenFromAnIdleOne) {
+TEST(AgentMemory, IsReclaimedFromAnIdleModel) {
   agent.Handle(agent::UpstreamEnd{"first"});
   agent.Call("2", "b@1");
-  EXPECT_TEXT("a@1", agent.Last<agent::OrderUnload>()->key, "an idle model makes room");
-  EXPECT_NUMBER(1, agent.Count<agent::OrderLoad>(), "b@1 is loaded only once a@1 is gone");
-  const agent::OrderUnload unload = *agent.Last<agent::OrderUnload>();
-  agent.Handle(agent::UnloadEnded{"a@1", unload.order, OrderOutcome::kDone});
-  EXPECT_TEXT("b@1", agent.Last<agent::OrderLoad>()->key, "now there is room");
+  EXPECT_TEXT("a@1", agent.Last<agent::UnloadModel>()->key, "an idle model makes room");
+  EXPECT_NUMBER(1, agent.Count<agent::LoadModel>(), "b@1 is loaded only once a@1 is gone");
+  const agent::UnloadModel unload = *agent.Last<agent::UnloadModel>();
+  agent.Handle(agent::UnloadEnded{"a@1", unload.operation_id, OperationOutcome::kDone});
+  EXPECT_TEXT("b@1", agent.Last<agent::LoadModel>()->key, "now there is room");
 }
 
-TEST(AgentMemory, StaysReservedWhileAnOrdersOutcomeIsUnknown) {
+TEST(AgentMemory, StaysReservedWhileAnUnloadsOutcomeIsUnknown) {
   agent.Handle(agent::UpstreamEnd{"first"});
   agent.Tick(1000);
-  const agent::OrderUnload unload = *agent.Last<agent::OrderUnload>();
-  agent.Handle(agent::UnloadEnded{"a@1", unload.order, OrderOutcome::kUnknown});
+  const agent::UnloadModel unload = *agent.Last<agent::UnloadModel>();
+  agent.Handle(agent::UnloadEnded{"a@1", unload.operation_id, OperationOutcome::kUnknown});
   agent.Call("2", "b@1");
-  EXPECT_TRUE(agent.Last<agent::OrderLoad>()->key != "b@1", "a@1 may still be there");
+  EXPECT_TRUE(agent.Last<agent::LoadModel>()->key != "b@1", "a@1 may still be there");
   EXPECT_TEXT("", agent.RefusalOf("2"), "the engine's index may settle it in time");
 }
 
-TEST_GROUP(AgentLetsGo) { Fixture agent; };
+TEST_GROUP(AgentUnloads) { Fixture agent; };
 
-TEST(AgentLetsGo, AModelIdleForItsLimit) {
+TEST(AgentUnloads, AModelAtItsIdleLimit) {
   agent.Call("1", "a@1");
   agent.FinishLoad();
   agent.Handle(agent::UpstreamEnd{"1"});
   agent.Tick(999);
-  EXPECT_NUMBER(0, agent.Count<agent::OrderUnload>(), "the limit is 1000 ms");
+  EXPECT_NUMBER(0, agent.Count<agent::UnloadModel>(), "the limit is 1000 ms");
   agent.Tick(1);
-  EXPECT_NUMBER(1, agent.Count<agent::OrderUnload>(), "the limit has passed");
+  EXPECT_NUMBER(1, agent.Count<agent::UnloadModel>(), "the limit has passed");
 }
 
-TEST(AgentLetsGo, TheAdaptersOfABaseThatIsGivenBack) {
+TEST(AgentUnloads, AdaptersBeforeTheirBase) {
   CallFrame call;
   call.id = "1";
   call.key = "x@1";
@@ -281,14 +281,14 @@
   agent.FinishLoad();
   agent.Handle(agent::UpstreamEnd{"1"});
   agent.Handle(agent::FrameArrived{1, RetireFrame{"a@1", 0, 1, 1}});
-  EXPECT_TEXT("x@1", agent.Last<agent::OrderUnload>()->key, "the adapter goes before its base");
-  const agent::OrderUnload adapter = *agent.Last<agent::OrderUnload>();
-  agent.Handle(agent::UnloadEnded{"x@1", adapter.order, OrderOutcome::kDone});
+  EXPECT_TEXT("x@1", agent.Last<agent::UnloadModel>()->key, "the adapter goes before its base");
+  const agent::UnloadModel adapter = *agent.Last<agent::UnloadModel>();
+  agent.Handle(agent::UnloadEnded{"x@1", adapter.operation_id, OperationOutcome::kDone});
   agent.Tick(10);
-  EXPECT_TEXT("a@1", agent.Last<agent::OrderUnload>()->key, "then the base");
+  EXPECT_TEXT("a@1", agent.Last<agent::UnloadModel>()->key, "then the base");
 }
 
-TEST(AgentLetsGo, WhenItLeavesOnlyAfterWhatRuns) {
+TEST(AgentUnloads, AfterRunningCallsWhenLeaving) {
   agent.Call("1", "a@1");
   agent.FinishLoad();
   agent.Call("2", "a@1");
@@ -296,8 +296,8 @@
   EXPECT_TEXT("leaving", agent.RefusalOf("2"), "what has not run is refused at once");
   EXPECT_NUMBER(0, agent.Count<agent::Exit>(), "the first still runs");
   agent.Handle(agent::UpstreamEnd{"1"});
-  const agent::OrderUnload unload = *agent.Last<agent::OrderUnload>();
-  agent.Handle(agent::UnloadEnded{"a@1", unload.order, OrderOutcome::kDone});
+  const agent::UnloadModel unload = *agent.Last<agent::UnloadModel>();
+  agent.Handle(agent::UnloadEnded{"a@1", unload.operation_id, OperationOutcome::kDone});
   EXPECT_NUMBER(3, agent.Count<agent::FreeGrant>(), "all three slots are given back");
   for (const char* it : {"a@1", "b@1", "c@1"}) agent.Handle(agent::GrantFreed{it, 1, true});
   EXPECT_NUMBER(1, agent.Count<agent::Exit>(), "nothing is left to do");
