--- a/src/daemon/engine_keeper.cc
+++ b/src/daemon/engine_keeper.cc
@@ -15,21 +15,21 @@
 
 constexpr double kPercent = 100;
 
-std::string_view AnswerName(OrderAnswer answer) {
+std::string_view AnswerName(EngineOrderResult answer) {
   switch (answer) {
-    case OrderAnswer::kAccepted:
+    case EngineOrderResult::kAccepted:
       return "accepted";
-    case OrderAnswer::kAlreadyHolds:
+    case EngineOrderResult::kAlreadyHolds:
       return "already_holds";
-    case OrderAnswer::kConflict:
+    case EngineOrderResult::kConflict:
       return "conflict";
-    case OrderAnswer::kStaleFence:
+    case EngineOrderResult::kStaleFence:
       return "stale_fence";
-    case OrderAnswer::kOtherInstance:
+    case EngineOrderResult::kOtherInstance:
       return "other_instance";
-    case OrderAnswer::kRejected:
+    case EngineOrderResult::kRejected:
       return "rejected";
-    case OrderAnswer::kUnknown:
+    case EngineOrderResult::kUnknown:
       return "unknown";
   }
   return "unknown";
@@ -43,8 +43,8 @@
 }
 
 const std::string& EngineKeeper::EncodedViews::Update(const ViewParts& parts) {
-  std::string& bytes = updates_[(parts.has_loaded ? 1 : 0) + (parts.has_orders ? 2 : 0) +
-                                (parts.has_at_hand ? 4 : 0)];
+  std::string& bytes = updates_[(parts.has_loaded ? 1 : 0) + (parts.has_load_state ? 2 : 0) +
+                                (parts.has_local_models ? 4 : 0)];
   if (bytes.empty()) bytes = EncodeViewUpdate(view_, parts);
   return bytes;
 }
@@ -103,7 +103,7 @@
 void EngineKeeper::OnLinkOpened(std::uint64_t link) {
   OpenLink& open = links_[link];
   if (core_.instance().empty()) return;
-  EncodedViews encoded(core_.View(MonotonicMs()));
+  EncodedViews encoded(core_.BuildView(MonotonicMs()));
   SendOwed(link, &open, &encoded);
 }
 
@@ -111,7 +111,7 @@
   const auto it = links_.find(link);
   if (it != links_.end()) quotas_.OnClosed(it->second.entry, MonotonicMs());
   links_.erase(link);
-  core_.OnEntryGone(link);
+  core_.OnEntryDisconnected(link);
 }
 
 void EngineKeeper::OnDemand(std::uint64_t link, AgentDemand demand) {
@@ -229,16 +229,16 @@
   ++counters_.orders;
   engine_.Give(*order, engine_id_, {options_.holder, fence},
                [self = shared_from_this(), order = *order, fence,
-                since = MonotonicMs()](OrderAnswer answer) {
+                since = MonotonicMs()](EngineOrderResult answer) {
                  self->is_ordering_ = false;
                  self->OnAnswer(order, fence, answer, since);
                });
 }
 
-void EngineKeeper::OnAnswer(const EngineOrder& order, std::int64_t fence, OrderAnswer answer,
+void EngineKeeper::OnAnswer(const EngineOrder& order, std::int64_t fence, EngineOrderResult answer,
                             TimeMs since) {
   const TimeMs now = MonotonicMs();
-  const bool is_accepted = answer == OrderAnswer::kAccepted;
+  const bool is_accepted = answer == EngineOrderResult::kAccepted;
   if (!is_accepted) ++counters_.orders_not_accepted;
   log_.Write(now, "order",
              {{"operation", order.kind == OrderKind::kLoad ? "load" : "unload"},
@@ -249,9 +249,9 @@
               {"reason", order.reason},
               {"answer", AnswerName(answer)},
               {"took_ms", now - since}});
-  if (answer == OrderAnswer::kOtherInstance) return OnOtherInstance();
-  if (answer == OrderAnswer::kStaleFence) callbacks_.raise_fence();
-  core_.OnAnswer(order, answer, now);
+  if (answer == EngineOrderResult::kOtherInstance) return OnOtherInstance();
+  if (answer == EngineOrderResult::kStaleFence) callbacks_.raise_fence();
+  core_.OnOrderResult(order, answer, now);
   SendViews();
   AskReportSoon();
 }
@@ -265,7 +265,7 @@
 
 // It started again under its id, and its record of before is what was read last.
 bool EngineKeeper::IsBornLater(const EngineReport& report) const {
-  return !core_.instance().empty() && born_ms_ != 0 && report.born_ms > born_ms_;
+  return !core_.instance().empty() && born_ms_ != 0 && report.started_unix_ms > born_ms_;
 }
 
 // A change goes at once to the entries that it concerns and to the others with the
@@ -273,26 +273,26 @@
 void EngineKeeper::SendViews() {
   if (core_.instance().empty()) return;
   const TimeMs now = MonotonicMs();
-  const EngineView view = core_.View(now);
+  const EngineView view = core_.BuildView(now);
   const bool is_new = view.instance != sent_view_.instance;
   const ViewParts changed = ChangedParts(sent_view_, view);
   const bool is_due = is_new || now - repeated_at_ >= kRepeatViewMs;
   const bool has_news =
       !changed.IsEmpty() || view.store_want.has_value() != sent_view_.store_want.has_value();
   if (!has_news && !is_due) return;
-  const std::vector<std::string> gone = GoneModels(sent_view_, view);
+  const std::vector<std::string> gone = RemovedModels(sent_view_, view);
   if (is_due) repeated_at_ = now;
   EncodedViews encoded(view);
   for (auto& [link, it] : links_) {
-    it.owed.Add(changed);
+    it.owed.Merge(changed);
     it.is_whole_owed |= is_new;
-    if (is_due || core_.IsConcerned(link, gone)) SendOwed(link, &it, &encoded);
+    if (is_due || core_.IsAffected(link, gone)) SendOwed(link, &it, &encoded);
   }
   sent_view_ = view;
 }
 
 void EngineKeeper::SendOwed(std::uint64_t link, OpenLink* open, EncodedViews* encoded) {
-  const bool is_whole = open->is_whole_owed || !core_.TakesUpdates(link);
+  const bool is_whole = open->is_whole_owed || !core_.AcceptsViewUpdates(link);
   callbacks_.send(link, is_whole ? encoded->Whole() : encoded->Update(open->owed));
   open->owed = {};
   open->is_whole_owed = false;
--- a/src/daemon/engine_keeper.h
+++ b/src/daemon/engine_keeper.h
@@ -97,7 +97,8 @@
   void AskReportSoon();
   void Note(bool is_in_touch, const std::string& reason);
   void GiveOrder();
-  void OnAnswer(const EngineOrder& order, std::int64_t fence, OrderAnswer answer, TimeMs since);
+  void OnAnswer(const EngineOrder& order, std::int64_t fence, EngineOrderResult answer,
+                TimeMs since);
   void OnOtherInstance();
   bool IsBornLater(const EngineReport& report) const;
   void LogQuotaParts();
--- a/src/daemon/entry_hosting.cc
+++ b/src/daemon/entry_hosting.cc
@@ -23,7 +23,7 @@
 constexpr std::uint64_t kOwnLink = 0;
 
 std::string ToValue(const HostClaim& claim) {
-  return nlohmann::json{{"entry", claim.entry}, {"link", claim.link.ToString()}}.dump();
+  return nlohmann::json{{"entry", claim.entry}, {"link", claim.demand_endpoint.ToString()}}.dump();
 }
 
 std::optional<HostClaim> ReadClaim(const platform::StoreItem& item) {
@@ -31,7 +31,7 @@
   HostClaim claim;
   const bool is_whole = value.is_object() && value.contains("entry") && value.contains("link") &&
                         value["entry"].is_string() && value["link"].is_string() &&
-                        ParseEndpoint(value["link"].get<std::string>(), &claim.link);
+                        ParseEndpoint(value["link"].get<std::string>(), &claim.demand_endpoint);
   if (!is_whole) return std::nullopt;
   claim.engine = item.key.substr(kClaims.size());
   claim.entry = value["entry"].get<std::string>();
@@ -46,16 +46,16 @@
   return endpoint;
 }
 
-HostElection::Port ToElectionPort(PortState state) {
+HostElection::ProbeResult ToElectionPort(PortState state) {
   switch (state) {
     case PortState::kOpen:
-      return HostElection::Port::kOpen;
+      return HostElection::ProbeResult::kOpen;
     case PortState::kRefused:
-      return HostElection::Port::kRefused;
+      return HostElection::ProbeResult::kRefused;
     case PortState::kSilent:
-      return HostElection::Port::kSilent;
+      return HostElection::ProbeResult::kNoAnswer;
   }
-  return HostElection::Port::kSilent;
+  return HostElection::ProbeResult::kNoAnswer;
 }
 
 }  // namespace
@@ -164,10 +164,10 @@
   const TimeMs now = MonotonicMs();
   std::vector<std::string> engines;
   for (const auto& it : unseen) engines.push_back(it.ToString());
-  election_.SetUnseen(engines, now);
+  election_.SetEnginesWithoutView(engines, now);
   DropLost();
-  for (const auto& it : election_.PortsToLookAt(now)) Look(it);
-  if (!election_.WantsClaims()) return;
+  for (const auto& it : election_.EnginesToProbe(now)) Look(it);
+  if (!election_.NeedsClaims()) return;
   ReadClaims(now);
   if (lease_ != 0) KeepLease(now);
   for (const auto& it : election_.EnginesToRelease()) Release(it);
@@ -180,7 +180,7 @@
 void EntryHosting::Look(const std::string& engine) {
   const Endpoint port{AddressOf(engine).address, options_.link.port};
   LookAtPort(io_, port, kLookTimeoutMs, [self = shared_from_this(), engine](PortState found) {
-    self->election_.OnPort(engine, ToElectionPort(found), MonotonicMs());
+    self->election_.OnProbe(engine, ToElectionPort(found), MonotonicMs());
   });
 }
 
@@ -219,7 +219,7 @@
       return;
     }
     self->lease_ = lease.value();
-    self->election_.OnLeaseKept(now, kLeaseMs);
+    self->election_.OnLeaseRenewed(now, kLeaseMs);
   });
 }
 
@@ -229,8 +229,8 @@
   lease_asked_at_ = now;
   store_.KeepLease(lease_, [self = shared_from_this(), now](platform::LeaseState state) {
     self->is_calling_lease_ = false;
-    if (state == platform::LeaseState::kKept) return self->election_.OnLeaseKept(now, kLeaseMs);
-    if (state == platform::LeaseState::kUnknown) return;  // It may still hold; see FenceFor.
+    if (state == platform::LeaseState::kKept) return self->election_.OnLeaseRenewed(now, kLeaseMs);
+    if (state == platform::LeaseState::kUnknown) return;  // It may still hold; see FencingTokenFor.
     self->LeaveLease();
   });
 }
@@ -284,7 +284,7 @@
     links_.Send(link, bytes);
   };
   callbacks.fence = [this, name = claim.engine] {
-    const std::int64_t revision = election_.FenceFor(name, MonotonicMs());
+    const std::int64_t revision = election_.FencingTokenFor(name, MonotonicMs());
     return revision == 0 ? 0 : platform::StorePlace{store_.era(), revision}.ToToken();
   };
   // The claim's revision is the highest there is for this engine.
@@ -303,7 +303,7 @@
 
 // Those whose claim is no longer held.
 void EntryHosting::DropLost() {
-  const auto held = election_.Hosted();
+  const auto held = election_.HostedEngines();
   for (auto it = hosted_.begin(); it != hosted_.end();) {
     if (Contains(held, it->first)) {
       ++it;
@@ -322,7 +322,7 @@
 
 void EntryHosting::Release(const std::string& engine) {
   platform::StoreCommit commit;
-  const HostClaim* claim = election_.ClaimOf(engine);
+  const HostClaim* claim = election_.FindClaim(engine);
   const std::string key = HostKey(AddressOf(engine));
   if (claim != nullptr) commit.conditions.push_back({key, claim->revision});
   commit.removals.push_back(key);
@@ -352,9 +352,9 @@
 }
 
 std::optional<Endpoint> EntryHosting::LinkOf(const Endpoint& engine) const {
-  const HostClaim* claim = election_.ClaimOf(engine.ToString());
+  const HostClaim* claim = election_.FindClaim(engine.ToString());
   if (claim == nullptr) return std::nullopt;
-  return claim->link;
+  return claim->demand_endpoint;
 }
 
 }  // namespace junctionrail::internal
--- a/src/daemon/entry_hosting.h
+++ b/src/daemon/entry_hosting.h
@@ -29,7 +29,7 @@
     std::string entry;
     Endpoint link;  // Taken once an engine is claimed; every agent's has its port.
     PolicySettings policy;
-    HostTimes times;
+    HostElectionTiming times;
   };
   struct Callbacks {
     // A view for this entry itself.
--- a/src/placement/messages.cc
+++ b/src/placement/messages.cc
@@ -28,7 +28,7 @@
 }
 
 // What changes from one view to the next, without the rates of what is loaded.
-json LoadToJson(const EngineView& view) {
+json EngineLoadToJson(const EngineView& view) {
   json message = {{"ms", view.remaining_ms}, {"r", view.running}, {"w", view.waiting},
                   {"kv", view.kv_share},     {"e", view.entries}, {"wr", view.wants_per_s}};
   if (view.store_want) {
@@ -42,15 +42,15 @@
 
 void AddParts(const EngineView& view, const ViewParts& parts, json* message) {
   if (parts.has_loaded) (*message)["m"] = ToJson(view.loaded);
-  if (parts.has_orders) {
+  if (parts.has_load_state) {
     (*message)["l"] = view.loading;
     (*message)["s"] = view.is_from_store;
     (*message)["q"] = view.queue;
   }
-  if (parts.has_at_hand) (*message)["h"] = view.at_hand;
+  if (parts.has_local_models) (*message)["h"] = view.at_hand;
 }
 
-json InOrderLoaded(const EngineView& view, const std::map<std::string, double>& values) {
+json InLoadedOrder(const EngineView& view, const std::map<std::string, double>& values) {
   json list = json::array();
   for (const auto& it : view.loaded) {
     const auto value = values.find(it.name);
@@ -80,7 +80,7 @@
   if (is_whole || it.contains("h")) view->at_hand = it.at("h").get<std::vector<std::string>>();
 }
 
-void ReadLoad(const json& it, EngineView* view) {
+void ReadEngineLoad(const json& it, EngineView* view) {
   view->remaining_ms = it.at("ms").get<DurationMs>();
   view->running = it.at("r").get<int>();
   view->waiting = it.at("w").get<int>();
@@ -105,26 +105,26 @@
 }
 
 // Element 7 of a wanted model held a target that no version reads any more.
-constexpr int kUnusedPlace = 0;
+constexpr int kUnusedElement = 0;
 
 }  // namespace
 
-void ViewParts::Add(const ViewParts& other) {
+void ViewParts::Merge(const ViewParts& other) {
   has_loaded |= other.has_loaded;
-  has_orders |= other.has_orders;
-  has_at_hand |= other.has_at_hand;
+  has_load_state |= other.has_load_state;
+  has_local_models |= other.has_local_models;
 }
 
 ViewParts ChangedParts(const EngineView& before, const EngineView& after) {
   ViewParts parts;
   parts.has_loaded = before.loaded != after.loaded;
-  parts.has_orders = before.loading != after.loading || before.queue != after.queue ||
-                     before.is_from_store != after.is_from_store;
-  parts.has_at_hand = before.at_hand != after.at_hand;
+  parts.has_load_state = before.loading != after.loading || before.queue != after.queue ||
+                         before.is_from_store != after.is_from_store;
+  parts.has_local_models = before.at_hand != after.at_hand;
   return parts;
 }
 
-std::vector<std::string> GoneModels(const EngineView& before, const EngineView& after) {
+std::vector<std::string> RemovedModels(const EngineView& before, const EngineView& after) {
   std::vector<std::string> gone;
   for (const auto& it : before.loaded) {
     const auto now = std::find_if(after.loaded.begin(), after.loaded.end(),
@@ -139,7 +139,7 @@
 }
 
 std::string EncodeView(const EngineView& view) {
-  json message = LoadToJson(view);
+  json message = EngineLoadToJson(view);
   message["i"] = view.instance;
   AddParts(view, kAllParts, &message);
   message["u"] = view.per_s;
@@ -149,11 +149,11 @@
 }
 
 std::string EncodeViewUpdate(const EngineView& view, const ViewParts& parts) {
-  json message = LoadToJson(view);
+  json message = EngineLoadToJson(view);
   AddParts(view, parts, &message);
   // In the order of what is loaded, which the reader knows: names are half the bytes.
-  message["u"] = InOrderLoaded(view, view.per_s);
-  message["c"] = InOrderLoaded(view, view.closing_ms);
+  message["u"] = InLoadedOrder(view, view.per_s);
+  message["c"] = InLoadedOrder(view, view.closing_ms);
   return PackCbor(message);
 }
 
@@ -168,7 +168,7 @@
       return false;
     }
     ReadParts(it, instance != it.end(), view);
-    ReadLoad(it, view);
+    ReadEngineLoad(it, view);
     return true;
   });
 }
@@ -177,7 +177,7 @@
   json wanted = json::array();
   for (const auto& it : demand.wanted) {
     wanted.push_back({it.ref.model, it.ref.adapter, it.waiting, it.priority, it.age_ms,
-                      it.replica_per_s, it.callers_late, kUnusedPlace, it.late, it.left_ms,
+                      it.replica_per_s, it.callers_late, kUnusedElement, it.late, it.left_ms,
                       it.per_s, it.at_risk_per_s});
   }
   json use = json::array();
--- a/test/model_fleet_test.cc
+++ b/test/fleet_simulation_test.cc
@@ -1,13 +1,13 @@
 // Whole fleets under load in model time: who is in time, who waits, what is loaded.
-#include "model_fleet.h"
+#include "fleet_simulation.h"
 
 #include "check.h"
 
 namespace junctionrail {
 namespace {
 
-using testing::ModelFleet;
-using testing::ModelledFleet;
+using testing::FleetConfig;
+using testing::FleetSimulation;
 
 constexpr int kBusyModels = 6;
 constexpr int kModels = 190;
@@ -15,8 +15,8 @@
 // A fifth of the large deployment: requests in the same proportion to its engines, most
 // of them for a few busy models, the others each for one of many that are asked for once
 // in some seconds and wait for two seconds without loss.
-ModelledFleet MakeFleet() {
-  ModelledFleet fleet;
+FleetConfig MakeFleet() {
+  FleetConfig fleet;
   fleet.engines = 36;
   fleet.entries = 8;
   fleet.models = kModels;
@@ -28,8 +28,8 @@
   return fleet;
 }
 
-std::string Told(const testing::ModelledOutcome& it) {
-  return "of " + std::to_string(it.requests) + ": in time " + std::to_string(it.in_target) +
+std::string Describe(const testing::WorkloadOutcome& it) {
+  return "of " + std::to_string(it.requests) + ": in time " + std::to_string(it.on_time) +
          ", late " + std::to_string(it.late) + ", refused " + std::to_string(it.refused) +
          ", abandoned " + std::to_string(it.abandoned);
 }
@@ -39,29 +39,29 @@
 TEST_GROUP(LargeFleets){};
 
 TEST(LargeFleets, ServeRareModelsFromDiskInTimeAndBusyOnesUndisturbed) {
-  ModelledFleet shape = MakeFleet();
+  FleetConfig shape = MakeFleet();
   shape.disk_copies = 3;
-  ModelFleet fleet(shape);
+  FleetSimulation fleet(shape);
   fleet.Run(20000);
   const auto& rare = fleet.Outcome("rare");
-  EXPECT_TRUE(rare.InTargetPercent() >= 90, "rare models, each on three disks: " + Told(rare));
+  EXPECT_TRUE(rare.OnTimePercent() >= 90, "rare models, each on three disks: " + Describe(rare));
   for (const char* name : {"busy", "short"}) {
     const auto& busy = fleet.Outcome(name);
-    EXPECT_TRUE(busy.InTargetPercent() >= 97, std::string(name) + ": " + Told(busy));
+    EXPECT_TRUE(busy.OnTimePercent() >= 97, std::string(name) + ": " + Describe(busy));
   }
 }
 
 TEST(LargeFleets, BeginNoMoreLoadsFromTheStoreThanItServesAndAFew) {
   // Requests for 150 models that are on no disk come to 40 entries in a few seconds, and
   // wait as long as it takes. A store that is asked for many at once has none up for long.
-  ModelledFleet shape = MakeFleet();
+  FleetConfig shape = MakeFleet();
   shape.entries = 40;
   shape.models = kModels + 150;
   shape.loads = {shape.loads[0], {"rare", 56, kBusyModels, shape.models, 2000, 40000, 1700, 1}};
-  shape.disk_models = 3;  // What stands loaded, no more.
+  shape.disk_capacity = 3;  // What stands loaded, no more.
   for (const std::uint64_t seed : {1, 2, 3}) {
     shape.seed = seed;
-    ModelFleet fleet(shape);
+    FleetSimulation fleet(shape);
     fleet.Run(5000);
     EXPECT_TRUE(fleet.loads_from_store() <= 5, "expected four and at most one more, got " +
                                                    std::to_string(fleet.loads_from_store()));
@@ -69,16 +69,16 @@
 }
 
 TEST(LargeFleets, GiveBusyModelsOfLostEnginesNewReplicas) {
-  ModelledFleet shape = MakeFleet();
+  FleetConfig shape = MakeFleet();
   shape.disk_copies = 6;
-  ModelFleet fleet(shape);
+  FleetSimulation fleet(shape);
   fleet.Run(4000);
-  for (int n = 0; n < 12; ++n) fleet.Replace(35 - n);
+  for (int n = 0; n < 12; ++n) fleet.ReplaceEngine(35 - n);
   fleet.Run(6000);
-  const int before = fleet.Outcome("busy").in_target;
+  const int before = fleet.Outcome("busy").on_time;
   const int asked = fleet.Outcome("busy").requests;
   fleet.Run(6000);
-  const int in_time = fleet.Outcome("busy").in_target - before;
+  const int in_time = fleet.Outcome("busy").on_time - before;
   const int came = fleet.Outcome("busy").requests - asked;
   EXPECT_TRUE(in_time * 100 >= came * 95,
               "six seconds after a third of the engines was lost: " + std::to_string(in_time) +
@@ -92,13 +92,13 @@
 // loads of 6 s at once.
 constexpr int kReplaced = 9;
 
-ModelledFleet MakeSmallFleet(std::uint64_t seed) {
-  ModelledFleet fleet;
+FleetConfig MakeSmallFleet(std::uint64_t seed) {
+  FleetConfig fleet;
   fleet.engines = kReplaced;
   fleet.entries = 6;
   fleet.models = 50;
   fleet.slots = 64;
-  fleet.places = 3;
+  fleet.model_capacity = 3;
   fleet.store_load_ms = 6000;
   fleet.store_loads = 4;
   fleet.disk_load_ms = 500;
@@ -118,18 +118,18 @@
 
 // Of a hundred requests for busy models, those in time from before the first engine
 // is replaced until six seconds after the last one has left.
-int InTimeWhileReplaced(const ModelledFleet& shape) {
-  ModelFleet fleet(shape);
+int InTimeWhileReplaced(const FleetConfig& shape) {
+  FleetSimulation fleet(shape);
   fleet.Run(6000);
   const auto before = fleet.Outcome("busy");
   for (int n = 0; n < kReplaced; ++n) {
-    fleet.Add();
+    fleet.AddEngine();
     fleet.Run(1500);
-    fleet.Leave(n);
+    fleet.MarkLeaving(n);
   }
   fleet.Run(6000);
   const auto after = fleet.Outcome("busy");
-  return (after.in_target - before.in_target) * 100 / (after.requests - before.requests);
+  return (after.on_time - before.on_time) * 100 / (after.requests - before.requests);
 }
 
 }  // namespace
@@ -142,7 +142,7 @@
   int with = 0;
   int without = 0;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    ModelledFleet shape = MakeSmallFleet(seed);
+    FleetConfig shape = MakeSmallFleet(seed);
     with += InTimeWhileReplaced(shape);
     shape.policy.spares = false;
     without += InTimeWhileReplaced(shape);
--- a/test/fleet_test.cc
+++ b/test/fleet_test.cc
@@ -125,9 +125,9 @@
     const auto order = engine.core.NextOrder(now_);
     if (order) {
       engine.Take(*order);
-      engine.core.OnAnswer(*order, OrderAnswer::kAccepted, now_);
+      engine.core.OnOrderResult(*order, EngineOrderResult::kAccepted, now_);
     }
-    const EngineView view = engine.core.View(now_);
+    const EngineView view = engine.core.BuildView(now_);
     for (auto& it : entries_) it.ApplyView(view, now_);
   }
 
--- a/test/placement_test.cc
+++ b/test/placement_test.cc
@@ -26,14 +26,14 @@
     report.on_disk = {"a", "b", "c", "d", "e"};
   }
 
-  void Load(const std::string& model, std::vector<std::string> adapters = {}) {
+  void AddLoaded(const std::string& model, std::vector<std::string> adapters = {}) {
     report.loaded.push_back({model, std::move(adapters)});
   }
 
-  void Report() { core.OnReport(report, now); }
+  void SendReport() { core.OnReport(report, now); }
 
-  void Ask(std::vector<ModelDemand> wanted, std::vector<ModelUse> use = {},
-           std::vector<std::string> stage = {}, bool may_load_from_store = true) {
+  void SendDemand(std::vector<ModelDemand> wanted, std::vector<ModelUse> use = {},
+                  std::vector<std::string> stage = {}, bool may_load_from_store = true) {
     core.OnDemand(1,
                   AgentDemand{"entry", "u1", std::move(wanted), std::move(use), std::move(stage),
                               may_load_from_store},
@@ -41,23 +41,24 @@
   }
 
   // What is ordered now, as "load a/x", or "nothing".
-  std::string Order() {
-    last = core.NextOrder(now);
-    if (!last) return "nothing";
-    return (last->kind == OrderKind::kLoad ? "load " : "unload ") + last->target.ToString();
+  std::string NextOrder() {
+    last_order = core.NextOrder(now);
+    if (!last_order) return "nothing";
+    return (last_order->kind == OrderKind::kLoad ? "load " : "unload ") +
+           last_order->target.ToString();
   }
 
-  void Answer(OrderAnswer answer) { core.OnAnswer(*last, answer, now); }
+  void ReportResult(EngineOrderResult result) { core.OnOrderResult(*last_order, result, now); }
 
   // The engine carries the last order out.
-  void CarryOut() {
+  void ExecuteOrder() {
     ++report.sequence;
-    if (last->kind == OrderKind::kLoad) {
-      Load(last->target.model);
+    if (last_order->kind == OrderKind::kLoad) {
+      AddLoaded(last_order->target.model);
     } else {
       auto& loaded = report.loaded;
       for (auto it = loaded.begin(); it != loaded.end(); ++it) {
-        if (it->name == last->target.model) {
+        if (it->name == last_order->target.model) {
           loaded.erase(it);
           break;
         }
@@ -67,16 +68,16 @@
 
   PlacementCore core;
   EngineReport report;
-  std::optional<EngineOrder> last;
+  std::optional<EngineOrder> last_order;
   TimeMs now = 100000;
 };
 
-ModelDemand Wanted(const std::string& model, int waiting, int priority = 1,
-                   const std::string& adapter = "", DurationMs age_ms = 0) {
+ModelDemand MakeDemand(const std::string& model, int waiting, int priority = 1,
+                       const std::string& adapter = "", DurationMs age_ms = 0) {
   return ModelDemand{{model, adapter}, waiting, priority, age_ms};
 }
 
-ModelUse Used(const std::string& model, int in_flight, double per_s = 0, int replicas = 1) {
+ModelUse MakeUse(const std::string& model, int in_flight, double per_s = 0, int replicas = 1) {
   return ModelUse{model, in_flight, per_s, replicas, 0, {}, 0, 1};
 }
 
@@ -86,27 +87,27 @@
 
 TEST(PlacementLoads, WhatRequestsWaitForWhereThereIsRoom) {
   Engine engine;
-  engine.Load("a");
-  engine.Report();
-  engine.Ask({Wanted("b", 1)});
-  EXPECT_TEXT("load b", engine.Order(), "two models fit beside it");
+  engine.AddLoaded("a");
+  engine.SendReport();
+  engine.SendDemand({MakeDemand("b", 1)});
+  EXPECT_TEXT("load b", engine.NextOrder(), "two models fit beside it");
 }
 
 TEST(PlacementLoads, NothingBeforeTheEngineHasBeenAsked) {
   Engine engine;
-  engine.Ask({Wanted("b", 1)});
-  EXPECT_TEXT("nothing", engine.Order(), "what is loaded is not known");
+  engine.SendDemand({MakeDemand("b", 1)});
+  EXPECT_TEXT("nothing", engine.NextOrder(), "what is loaded is not known");
 }
 
 TEST(PlacementLoads, AModelManyWaitForBeforeOneThatAMoreUrgentRequestWaitsFor) {
   // 25 requests a second waited for a busy model while
   // three rare ones, one request each, were loaded before it.
   Engine engine;
-  engine.Report();
-  engine.Ask({Wanted("a", 1, 0), Wanted("b", 30, 1)});
-  EXPECT_TEXT("load b", engine.Order(), "thirty requests outweigh one of the class above");
-  engine.Ask({Wanted("a", 1, 0), Wanted("b", 3, 1)});
-  EXPECT_TEXT("load a", engine.Order(), "three do not");
+  engine.SendReport();
+  engine.SendDemand({MakeDemand("a", 1, 0), MakeDemand("b", 30, 1)});
+  EXPECT_TEXT("load b", engine.NextOrder(), "thirty requests outweigh one of the class above");
+  engine.SendDemand({MakeDemand("a", 1, 0), MakeDemand("b", 3, 1)});
+  EXPECT_TEXT("load a", engine.NextOrder(), "three do not");
 }
 
 TEST(PlacementLoads, FromTheWeightStoreOnlyWhenAnEntrySaysThatItHasRoom) {
@@ -115,22 +116,23 @@
   // every other order until then.
   Engine engine;
   engine.report.on_disk = {"a"};
-  engine.Load("c");
-  engine.Load("d");
-  engine.Load("e");
-  engine.Report();
-  engine.Ask({Wanted("b", 1)}, {}, {}, false);
-  EXPECT_TEXT("nothing", engine.Order(), "not even room is made yet");
+  engine.AddLoaded("c");
+  engine.AddLoaded("d");
+  engine.AddLoaded("e");
+  engine.SendReport();
+  engine.SendDemand({MakeDemand("b", 1)}, {}, {}, false);
+  EXPECT_TEXT("nothing", engine.NextOrder(), "not even room is made yet");
   engine.now += 300;
-  EXPECT_TEXT("nothing", engine.Order(), "");
-  const auto want = engine.core.View(engine.now).store_want;
+  EXPECT_TEXT("nothing", engine.NextOrder(), "");
+  const auto want = engine.core.BuildView(engine.now).store_want;
   EXPECT_TRUE(want && want->is_waited_for, "entries hear of it");
   EXPECT_NUMBER(300, want->age_ms, "");
-  engine.Ask({Wanted("b", 1), Wanted("a", 1)}, {}, {}, false);
-  EXPECT_TRUE(engine.Order().substr(0, 7) == "unload ", "a load from disk does not wait for it");
-  engine.Ask({Wanted("b", 1)}, {}, {}, true);
-  EXPECT_TRUE(engine.Order().substr(0, 7) == "unload ", "now it makes room");
-  EXPECT_TRUE(!engine.core.View(engine.now).store_want, "and asks no more");
+  engine.SendDemand({MakeDemand("b", 1), MakeDemand("a", 1)}, {}, {}, false);
+  EXPECT_TRUE(engine.NextOrder().substr(0, 7) == "unload ",
+              "a load from disk does not wait for it");
+  engine.SendDemand({MakeDemand("b", 1)}, {}, {}, true);
+  EXPECT_TRUE(engine.NextOrder().substr(0, 7) == "unload ", "now it makes room");
+  EXPECT_TRUE(!engine.core.BuildView(engine.now).store_want, "and asks no more");
 }
 
 TEST(PlacementLoads, FromTheWeightStoreOnlyWhenMostEntriesSayThatItHasRoom) {
@@ -138,18 +140,18 @@
   // whose turn it is.
   Engine engine;
   engine.report.on_disk.clear();
-  engine.Report();
+  engine.SendReport();
   const auto say = [&](std::uint64_t link, bool may_load) {
     AgentDemand demand{"entry", "u1", {}, {}, {}, may_load};
-    if (link == 1) demand.wanted = {Wanted("a", 1)};
+    if (link == 1) demand.wanted = {MakeDemand("a", 1)};
     engine.core.OnDemand(link, std::move(demand), engine.now);
   };
   say(1, true);
   say(2, false);
   say(3, false);
-  EXPECT_TEXT("nothing", engine.Order(), "one of three");
+  EXPECT_TEXT("nothing", engine.NextOrder(), "one of three");
   say(3, true);
-  EXPECT_TEXT("load a", engine.Order(), "two of three");
+  EXPECT_TEXT("load a", engine.NextOrder(), "two of three");
 }
 
 TEST(PlacementLoads, AReplicaOfAnOverloadedModelFromTheStoreBeforeOneForARareRequest) {
@@ -158,15 +160,15 @@
   // models, one request each.
   Engine engine;
   engine.report.on_disk = {};
-  engine.Report();
+  engine.SendReport();
   const auto weigh = [&engine](const ModelDemand& demand) {
-    engine.Ask({demand}, {}, {}, false);
-    engine.Order();
-    return engine.core.View(engine.now).store_want.value_or(StoreWant()).weight;
+    engine.SendDemand({demand}, {}, {}, false);
+    engine.NextOrder();
+    return engine.core.BuildView(engine.now).store_want.value_or(StoreWant()).weight;
   };
-  ModelDemand replica = Wanted("a", 0, 1);
+  ModelDemand replica = MakeDemand("a", 0, 1);
   replica.replica_per_s = 12;
-  ModelDemand waiting = Wanted("b", 1, 0);
+  ModelDemand waiting = MakeDemand("b", 1, 0);
   waiting.per_s = 0.2;
   const double rare = weigh(waiting);
   EXPECT_TRUE(weigh(replica) > rare, "twelve of the class below each second, against one in five");
@@ -175,10 +177,10 @@
   waiting.waiting = 9;
   EXPECT_TRUE(weigh(waiting) == rare, "those who wait now have left when the load is over");
   engine.report.on_disk = {"a", "b"};
-  engine.Report();
+  engine.SendReport();
   replica.replica_per_s = 12;
-  engine.Ask({replica, Wanted("b", 1, 0)});
-  EXPECT_TEXT("load b", engine.Order(), "from disk, requests that wait come first");
+  engine.SendDemand({replica, MakeDemand("b", 1, 0)});
+  EXPECT_TEXT("load b", engine.NextOrder(), "from disk, requests that wait come first");
 }
 
 TEST(PlacementLoads, ASpareCopyOfABusyModelIntoFreeMemoryOnly) {
@@ -186,145 +188,148 @@
   // from the store, until no engine was left that held the busy ones.
   Engine engine;
   engine.report.on_disk = {};
-  engine.Report();
-  ModelDemand spare = Wanted("a", 0);
+  engine.SendReport();
+  ModelDemand spare = MakeDemand("a", 0);
   spare.at_risk_per_s = 3;
-  ModelDemand rare = Wanted("b", 1);
+  ModelDemand rare = MakeDemand("b", 1);
   rare.per_s = 0.2;
-  engine.Ask({spare, rare});
-  EXPECT_TEXT("load a", engine.Order(), "three a second will look for it in vain");
+  engine.SendDemand({spare, rare});
+  EXPECT_TEXT("load a", engine.NextOrder(), "three a second will look for it in vain");
   spare.at_risk_per_s = 0.1;
-  engine.Ask({spare, rare});
-  EXPECT_TEXT("load b", engine.Order(), "a request that waits counts more than that");
-  for (const char* it : {"b", "c", "d"}) engine.Load(it);
-  engine.Report();
+  engine.SendDemand({spare, rare});
+  EXPECT_TEXT("load b", engine.NextOrder(), "a request that waits counts more than that");
+  for (const char* it : {"b", "c", "d"}) engine.AddLoaded(it);
+  engine.SendReport();
   spare.at_risk_per_s = 30;
-  engine.Ask({spare}, {Used("b", 0, 0.5), Used("c", 0, 0.5), Used("d", 0, 0.5)});
-  EXPECT_TEXT("nothing", engine.Order(), "nothing that is asked for makes room for it");
+  engine.SendDemand({spare}, {MakeUse("b", 0, 0.5), MakeUse("c", 0, 0.5), MakeUse("d", 0, 0.5)});
+  EXPECT_TEXT("nothing", engine.NextOrder(), "nothing that is asked for makes room for it");
 }
 
 TEST(PlacementLoads, WhatCanStillBeInTimeBeforeWhatIsLateInAnyCase) {
   Engine engine;
-  engine.Report();
-  ModelDemand late = Wanted("a", 2);
+  engine.SendReport();
+  ModelDemand late = MakeDemand("a", 2);
   late.late = 2;
-  ModelDemand urgent = Wanted("b", 1);
+  ModelDemand urgent = MakeDemand("b", 1);
   urgent.left_ms = 1200;
-  ModelDemand relaxed = Wanted("c", 1);
+  ModelDemand relaxed = MakeDemand("c", 1);
   relaxed.left_ms = 9000;
-  engine.Ask({late, urgent, relaxed});
-  EXPECT_TEXT("load b", engine.Order(), "it is in time if it is next, and not after another");
+  engine.SendDemand({late, urgent, relaxed});
+  EXPECT_TEXT("load b", engine.NextOrder(), "it is in time if it is next, and not after another");
   urgent.left_ms = 300;
-  engine.Ask({late, urgent, relaxed});
-  EXPECT_TEXT("load a", engine.Order(), "b is late now too, and two wait for a");
+  engine.SendDemand({late, urgent, relaxed});
+  EXPECT_TEXT("load a", engine.NextOrder(), "b is late now too, and two wait for a");
 }
 
 TEST_GROUP(PlacementMakesRoom){};
 
 TEST(PlacementMakesRoom, ByTheModelLeastAskedFor) {
   Engine engine;
-  engine.Load("a");
-  engine.Load("b");
-  engine.Load("c");
-  engine.Report();
-  engine.Ask({Wanted("d", 1)}, {Used("a", 0, 0.3), Used("b", 0, 0.1), Used("c", 0, 0.2)});
-  EXPECT_TEXT("unload b", engine.Order(), "it has the fewest requests a second");
+  engine.AddLoaded("a");
+  engine.AddLoaded("b");
+  engine.AddLoaded("c");
+  engine.SendReport();
+  engine.SendDemand({MakeDemand("d", 1)},
+                    {MakeUse("a", 0, 0.3), MakeUse("b", 0, 0.1), MakeUse("c", 0, 0.2)});
+  EXPECT_TEXT("unload b", engine.NextOrder(), "it has the fewest requests a second");
 }
 
 TEST(PlacementMakesRoom, NeverByAModelThatRequestsWaitFor) {
   Engine engine;
-  engine.Load("a", {});
-  engine.Load("b");
-  engine.Load("c");
-  engine.Report();
-  engine.Ask({Wanted("d", 1), Wanted("b", 1, 1, "x")},
-             {Used("a", 0, 2.0), Used("b", 0, 0.1), Used("c", 0, 1.0)});
-  EXPECT_TEXT("load b/x", engine.Order(), "the adapter comes first");
-  engine.Answer(OrderAnswer::kAlreadyHolds);
+  engine.AddLoaded("a", {});
+  engine.AddLoaded("b");
+  engine.AddLoaded("c");
+  engine.SendReport();
+  engine.SendDemand({MakeDemand("d", 1), MakeDemand("b", 1, 1, "x")},
+                    {MakeUse("a", 0, 2.0), MakeUse("b", 0, 0.1), MakeUse("c", 0, 1.0)});
+  EXPECT_TEXT("load b/x", engine.NextOrder(), "the adapter comes first");
+  engine.ReportResult(EngineOrderResult::kAlreadyHolds);
   engine.now += 1000;
-  engine.Ask({Wanted("d", 1), Wanted("b", 1)},
-             {Used("a", 0, 0.3), Used("b", 0, 0.1), Used("c", 0, 0.2)});
-  EXPECT_TEXT("unload c", engine.Order(), "the least asked for of the others");
+  engine.SendDemand({MakeDemand("d", 1), MakeDemand("b", 1)},
+                    {MakeUse("a", 0, 0.3), MakeUse("b", 0, 0.1), MakeUse("c", 0, 0.2)});
+  EXPECT_TEXT("unload c", engine.NextOrder(), "the least asked for of the others");
 }
 
 TEST(PlacementMakesRoom, ByAModelInUseOnlyForARequestThatWaitedLong) {
   Engine engine;
-  for (const char* it : {"a", "b", "c"}) engine.Load(it);
-  engine.Report();
-  const std::vector<ModelUse> use = {Used("a", 5, 2), Used("b", 1, 1), Used("c", 9, 3)};
-  engine.Ask({Wanted("d", 1, 0, "", 100)}, use);
-  EXPECT_TEXT("nothing", engine.Order(), "all are in use");
-  engine.Ask({Wanted("d", 1, 0, "", 5000)}, use);
-  EXPECT_TEXT("unload b", engine.Order(), "the one that interrupts the fewest requests");
+  for (const char* it : {"a", "b", "c"}) engine.AddLoaded(it);
+  engine.SendReport();
+  const std::vector<ModelUse> use = {MakeUse("a", 5, 2), MakeUse("b", 1, 1), MakeUse("c", 9, 3)};
+  engine.SendDemand({MakeDemand("d", 1, 0, "", 100)}, use);
+  EXPECT_TEXT("nothing", engine.NextOrder(), "all are in use");
+  engine.SendDemand({MakeDemand("d", 1, 0, "", 5000)}, use);
+  EXPECT_TEXT("unload b", engine.NextOrder(), "the one that interrupts the fewest requests");
 }
 
 TEST(PlacementMakesRoom, ByABusyModelOnlyWhenThoseWhoWaitLoseMoreThanItsCallersWould) {
   // Without this the busiest models were closed eight to eleven times in half a
   // minute for models with one request in three seconds.
   Engine engine;
-  for (const char* it : {"a", "b", "c"}) engine.Load(it);
-  engine.Report();
-  std::vector<ModelUse> use = {Used("a", 0, 15), Used("b", 0, 15), Used("c", 0, 10)};
+  for (const char* it : {"a", "b", "c"}) engine.AddLoaded(it);
+  engine.SendReport();
+  std::vector<ModelUse> use = {MakeUse("a", 0, 15), MakeUse("b", 0, 15), MakeUse("c", 0, 10)};
   for (auto& it : use) {
     it.target_ms = 300;
     it.priority = 0;
   }
-  engine.Ask({Wanted("d", 1, 0, "", 100)}, use);
-  EXPECT_TEXT("nothing", engine.Order(), "ten callers a second would wait 1.1 s for c's return");
+  engine.SendDemand({MakeDemand("d", 1, 0, "", 100)}, use);
+  EXPECT_TEXT("nothing", engine.NextOrder(),
+              "ten callers a second would wait 1.1 s for c's return");
   // 10 a second * (0.3^2 / 3 + (1.1^2 - 0.3^2) / 2) s + 1.1 s for the first = 7.0 s.
-  engine.Ask({Wanted("d", 1, 0, "", 5800)}, use);
-  EXPECT_TEXT("nothing", engine.Order(), "5.8 s and 1.1 s for the load are less than 7.0 s");
-  engine.Ask({Wanted("d", 1, 0, "", 6000)}, use);
-  EXPECT_TEXT("unload c", engine.Order(), "6.0 s and 1.1 s are more");
-  engine.Ask({Wanted("d", 4, 0, "", 700)}, use);
-  EXPECT_TEXT("unload c", engine.Order(), "four callers lose 7.2 s");
+  engine.SendDemand({MakeDemand("d", 1, 0, "", 5800)}, use);
+  EXPECT_TEXT("nothing", engine.NextOrder(), "5.8 s and 1.1 s for the load are less than 7.0 s");
+  engine.SendDemand({MakeDemand("d", 1, 0, "", 6000)}, use);
+  EXPECT_TEXT("unload c", engine.NextOrder(), "6.0 s and 1.1 s are more");
+  engine.SendDemand({MakeDemand("d", 4, 0, "", 700)}, use);
+  EXPECT_TEXT("unload c", engine.NextOrder(), "four callers lose 7.2 s");
 }
 
 TEST(PlacementMakesRoom, SoonerByAModelWhoseCallersHaveTimeForItsReturn) {
   Engine engine;
-  for (const char* it : {"a", "b", "c"}) engine.Load(it);
-  engine.Report();
-  std::vector<ModelUse> use = {Used("a", 0, 1), Used("b", 0, 1), Used("c", 0, 2)};
+  for (const char* it : {"a", "b", "c"}) engine.AddLoaded(it);
+  engine.SendReport();
+  std::vector<ModelUse> use = {MakeUse("a", 0, 1), MakeUse("b", 0, 1), MakeUse("c", 0, 2)};
   use[0].target_ms = use[1].target_ms = 300;
   use[2].target_ms = 5000;
-  engine.Ask({Wanted("d", 1)}, use);
-  EXPECT_TEXT("unload c", engine.Order(), "it is asked for most, but its callers can wait longest");
+  engine.SendDemand({MakeDemand("d", 1)}, use);
+  EXPECT_TEXT("unload c", engine.NextOrder(),
+              "it is asked for most, but its callers can wait longest");
 }
 
 TEST(PlacementMakesRoom, ForAReplicaWhoseAbsenceMakesCallersLate) {
   Engine engine;
-  for (const char* it : {"a", "b", "c"}) engine.Load(it);
-  engine.Report();
-  std::vector<ModelUse> use = {Used("a", 1, 1), Used("b", 1, 1), Used("c", 1, 1)};
+  for (const char* it : {"a", "b", "c"}) engine.AddLoaded(it);
+  engine.SendReport();
+  std::vector<ModelUse> use = {MakeUse("a", 1, 1), MakeUse("b", 1, 1), MakeUse("c", 1, 1)};
   for (auto& it : use) {
     it.target_ms = 300;
     it.priority = 0;
   }
-  ModelDemand replica = Wanted("d", 0, 0);
+  ModelDemand replica = MakeDemand("d", 0, 0);
   replica.callers_late = 0.5;
-  engine.Ask({replica}, use);
-  EXPECT_TEXT("nothing", engine.Order(), "0.5 s of callers in a second, 1.9 s for those of a");
+  engine.SendDemand({replica}, use);
+  EXPECT_TEXT("nothing", engine.NextOrder(), "0.5 s of callers in a second, 1.9 s for those of a");
   replica.callers_late = 4;
-  engine.Ask({replica}, use);
-  EXPECT_TEXT("unload a", engine.Order(), "four callers late at any moment");
+  engine.SendDemand({replica}, use);
+  EXPECT_TEXT("unload a", engine.NextOrder(), "four callers late at any moment");
 }
 
 TEST(PlacementMakesRoom, ForTheOneThatWasWeighedAgainstIt) {
   // Room made by a busy model's replica went to whichever model came next.
   Engine engine;
-  for (const char* it : {"a", "b", "c"}) engine.Load(it);
-  engine.Report();
-  const std::vector<ModelUse> use = {Used("a", 0, 0.1), Used("b", 0, 3), Used("c", 0, 3)};
-  ModelDemand replica = Wanted("d", 0, 0);
+  for (const char* it : {"a", "b", "c"}) engine.AddLoaded(it);
+  engine.SendReport();
+  const std::vector<ModelUse> use = {MakeUse("a", 0, 0.1), MakeUse("b", 0, 3), MakeUse("c", 0, 3)};
+  ModelDemand replica = MakeDemand("d", 0, 0);
   replica.callers_late = 9;
-  engine.Ask({replica}, use);
-  EXPECT_TEXT("unload a", engine.Order(), "the least asked for");
-  engine.Answer(OrderAnswer::kAccepted);
-  engine.CarryOut();
+  engine.SendDemand({replica}, use);
+  EXPECT_TEXT("unload a", engine.NextOrder(), "the least asked for");
+  engine.ReportResult(EngineOrderResult::kAccepted);
+  engine.ExecuteOrder();
   engine.now += 100;
-  engine.Report();
-  engine.Ask({replica, Wanted("e", 40, 0)}, use);
-  EXPECT_TEXT("load d", engine.Order(), "forty wait for e now, but room was made for d");
+  engine.SendReport();
+  engine.SendDemand({replica, MakeDemand("e", 40, 0)}, use);
+  EXPECT_TEXT("load d", engine.NextOrder(), "forty wait for e now, but room was made for d");
 }
 
 TEST_GROUP(PlacementAdapters){};
@@ -333,35 +338,35 @@
   // an adapter in use was to go. Its unload waited for
   // requests that kept coming, and nothing was loaded for twelve seconds.
   Engine engine;
-  engine.Load("a", {"x", "y"});
-  engine.Report();
-  ModelUse use = Used("a", 3, 1);
+  engine.AddLoaded("a", {"x", "y"});
+  engine.SendReport();
+  ModelUse use = MakeUse("a", 3, 1);
   use.adapters_in_use = {"x"};
-  engine.Ask({Wanted("a", 1, 1, "z")}, {use});
-  EXPECT_TEXT("unload a/y", engine.Order(), "x is in use");
+  engine.SendDemand({MakeDemand("a", 1, 1, "z")}, {use});
+  EXPECT_TEXT("unload a/y", engine.NextOrder(), "x is in use");
   use.adapters_in_use = {"x", "y"};
-  engine.Ask({Wanted("a", 1, 1, "z")}, {use});
-  EXPECT_TEXT("nothing", engine.Order(), "both are in use");
+  engine.SendDemand({MakeDemand("a", 1, 1, "z")}, {use});
+  EXPECT_TEXT("nothing", engine.NextOrder(), "both are in use");
 }
 
 TEST(PlacementAdapters, AreNotOrderedWhileAModelIsUnderAnOrder) {
   // Engines answer such orders with a conflict each time.
   Engine engine;
-  engine.Load("a");
+  engine.AddLoaded("a");
   engine.report.is_busy = true;
-  engine.Report();
-  engine.Ask({Wanted("a", 1, 1, "x")});
-  EXPECT_TEXT("nothing", engine.Order(), "the engine is busy");
+  engine.SendReport();
+  engine.SendDemand({MakeDemand("a", 1, 1, "x")});
+  EXPECT_TEXT("nothing", engine.NextOrder(), "the engine is busy");
 }
 
 TEST(PlacementAdapters, LeaveTheViewAsSoonAsTheyAreToGo) {
   Engine engine;
-  engine.Load("a", {"x", "y"});
-  engine.Report();
-  engine.Ask({Wanted("a", 1, 1, "z")});
-  EXPECT_TEXT("unload a/x", engine.Order(), "a place is needed");
-  engine.Answer(OrderAnswer::kAccepted);
-  EXPECT_NUMBER(1, engine.core.View(engine.now).loaded.at(0).adapters.size(),
+  engine.AddLoaded("a", {"x", "y"});
+  engine.SendReport();
+  engine.SendDemand({MakeDemand("a", 1, 1, "z")});
+  EXPECT_TEXT("unload a/x", engine.NextOrder(), "a place is needed");
+  engine.ReportResult(EngineOrderResult::kAccepted);
+  EXPECT_NUMBER(1, engine.core.BuildView(engine.now).loaded.at(0).adapters.size(),
                 "entries must not send requests for it any more");
 }
 
@@ -369,47 +374,47 @@
 
 TEST(PlacementOrders, WaitForTheReportThatShowsTheirEffect) {
   Engine engine;
-  engine.Report();
-  engine.Ask({Wanted("a", 1)});
-  EXPECT_TEXT("load a", engine.Order(), "");
-  engine.Answer(OrderAnswer::kAccepted);
-  EXPECT_TEXT("nothing", engine.Order(), "its effect is not reported yet");
-  engine.CarryOut();
-  engine.Report();
-  EXPECT_TEXT("nothing", engine.Order(), "it is loaded");
+  engine.SendReport();
+  engine.SendDemand({MakeDemand("a", 1)});
+  EXPECT_TEXT("load a", engine.NextOrder(), "");
+  engine.ReportResult(EngineOrderResult::kAccepted);
+  EXPECT_TEXT("nothing", engine.NextOrder(), "its effect is not reported yet");
+  engine.ExecuteOrder();
+  engine.SendReport();
+  EXPECT_TEXT("nothing", engine.NextOrder(), "it is loaded");
 }
 
 TEST(PlacementOrders, WithoutAnAnswerAreGivenAgainUnderTheSameSequence) {
   // Of two orders that expect the same sequence an engine takes only one.
   Engine engine;
-  engine.Report();
-  engine.Ask({Wanted("a", 1)});
-  engine.Order();
-  const auto sequence = engine.last->expected_sequence;
-  engine.Answer(OrderAnswer::kUnknown);
-  EXPECT_TEXT("nothing", engine.Order(), "the answer may still come");
+  engine.SendReport();
+  engine.SendDemand({MakeDemand("a", 1)});
+  engine.NextOrder();
+  const auto sequence = engine.last_order->expected_sequence;
+  engine.ReportResult(EngineOrderResult::kUnknown);
+  EXPECT_TEXT("nothing", engine.NextOrder(), "the answer may still come");
   engine.now += 500;
-  engine.Ask({Wanted("a", 1)});
-  EXPECT_TEXT("load a", engine.Order(), "it did not");
-  EXPECT_NUMBER(sequence, engine.last->expected_sequence, "only one of the two can be taken");
+  engine.SendDemand({MakeDemand("a", 1)});
+  EXPECT_TEXT("load a", engine.NextOrder(), "it did not");
+  EXPECT_NUMBER(sequence, engine.last_order->expected_sequence, "only one of the two can be taken");
 }
 
 TEST(PlacementOrders, ForgetWhatAnEarlierInstanceHeld) {
   Engine engine;
-  engine.Load("a");
-  engine.Report();
+  engine.AddLoaded("a");
+  engine.SendReport();
   engine.core.Reset("u2");
-  EXPECT_NUMBER(0, engine.core.View(engine.now).loaded.size(), "the new one starts empty");
-  engine.Ask({Wanted("a", 1)});
-  EXPECT_TEXT("nothing", engine.Order(), "a demand meant for the instance before");
+  EXPECT_NUMBER(0, engine.core.BuildView(engine.now).loaded.size(), "the new one starts empty");
+  engine.SendDemand({MakeDemand("a", 1)});
+  EXPECT_TEXT("nothing", engine.NextOrder(), "a demand meant for the instance before");
 }
 
 TEST(PlacementOrders, NeverExceedTheAcceleratorsMemory) {
   Engine engine;
-  for (const char* it : {"a", "b", "c"}) engine.Load(it);
-  engine.Report();
-  engine.Ask({Wanted("d", 1)}, {Used("a", 0), Used("b", 0), Used("c", 0)});
-  EXPECT_TRUE(engine.Order().rfind("unload", 0) == 0, "216 of 230 are taken, 72 are needed");
+  for (const char* it : {"a", "b", "c"}) engine.AddLoaded(it);
+  engine.SendReport();
+  engine.SendDemand({MakeDemand("d", 1)}, {MakeUse("a", 0), MakeUse("b", 0), MakeUse("c", 0)});
+  EXPECT_TRUE(engine.NextOrder().rfind("unload", 0) == 0, "216 of 230 are taken, 72 are needed");
 }
 
 TEST_GROUP(PlacementStages){};
@@ -417,65 +422,65 @@
 TEST(PlacementStages, OnlyWhenNobodyWaitsAndOnlyWhatIsNotOnDisk) {
   Engine engine;
   engine.report.on_disk = {"a"};
-  engine.Report();
-  engine.Ask({}, {}, {"a", "b"});
-  EXPECT_TEXT("load b", engine.Order(), "a is on disk already");
-  engine.Ask({Wanted("c", 1)}, {}, {"b"});
-  EXPECT_TEXT("load c", engine.Order(), "a waiting request comes first");
+  engine.SendReport();
+  engine.SendDemand({}, {}, {"a", "b"});
+  EXPECT_TEXT("load b", engine.NextOrder(), "a is on disk already");
+  engine.SendDemand({MakeDemand("c", 1)}, {}, {"b"});
+  EXPECT_TEXT("load c", engine.NextOrder(), "a waiting request comes first");
 }
 
 TEST_GROUP(PlacementViews){};
 
 TEST(PlacementViews, TellHowOftenAFurtherModelIsWaitedFor) {
   Engine engine;
-  engine.Report();
+  engine.SendReport();
   for (int n = 0; n < 40; ++n) {
     // Each half second requests begin to wait for another model.
-    engine.Ask({Wanted(n % 2 == 0 ? "a" : "b", 1)});
+    engine.SendDemand({MakeDemand(n % 2 == 0 ? "a" : "b", 1)});
     engine.now += 250;
-    engine.Ask({Wanted(n % 2 == 0 ? "a" : "b", 3)});
+    engine.SendDemand({MakeDemand(n % 2 == 0 ? "a" : "b", 3)});
     engine.now += 250;
   }
-  const double per_s = engine.core.View(engine.now).wants_per_s;
+  const double per_s = engine.core.BuildView(engine.now).wants_per_s;
   EXPECT_TRUE(per_s > 1.5 && per_s < 2.2, "two a second, got " + std::to_string(per_s));
 }
 
 TEST(PlacementViews, TellWhatTheClosingOfEachModelWouldCost) {
   Engine engine;
-  engine.Load("a");
-  engine.Load("b");
-  engine.Report();
-  ModelUse busy = Used("a", 0, 10);
+  engine.AddLoaded("a");
+  engine.AddLoaded("b");
+  engine.SendReport();
+  ModelUse busy = MakeUse("a", 0, 10);
   busy.target_ms = 300;
-  engine.Ask({}, {busy, Used("b", 0, 0.1)});
-  const auto cost = engine.core.View(engine.now).closing_ms;
+  engine.SendDemand({}, {busy, MakeUse("b", 0, 0.1)});
+  const auto cost = engine.core.BuildView(engine.now).closing_ms;
   EXPECT_TRUE(cost.at("a") > 10 * cost.at("b"),
               "got " + std::to_string(cost.at("a")) + " and " + std::to_string(cost.at("b")));
 }
 
 TEST(PlacementViews, ConcernAtOnceWhoWaitsAndWhoUsedWhatIsGone) {
   Engine engine;
-  engine.Load("a");
-  engine.Report();
+  engine.AddLoaded("a");
+  engine.SendReport();
   const auto ask = [&](std::uint64_t link, std::vector<ModelDemand> wanted,
                        std::vector<ModelUse> use) {
     AgentDemand demand{"entry", "u1", std::move(wanted), std::move(use), {}, true};
     engine.core.OnDemand(link, std::move(demand), engine.now);
   };
-  ModelUse never = Used("a", 0);
+  ModelUse never = MakeUse("a", 0);
   never.idle_ms = -1;
-  ModelUse long_ago = Used("a", 0);
+  ModelUse long_ago = MakeUse("a", 0);
   long_ago.idle_ms = 60000;
-  ask(1, {Wanted("b", 1)}, {});
-  ask(2, {}, {Used("a", 0)});
+  ask(1, {MakeDemand("b", 1)}, {});
+  ask(2, {}, {MakeUse("a", 0)});
   ask(3, {}, {never});
   ask(4, {}, {long_ago});
-  EXPECT_TRUE(engine.core.IsConcerned(1, {}), "an entry whose request waits");
-  EXPECT_TRUE(engine.core.IsConcerned(2, {"a"}), "an entry that has just sent one for it");
-  EXPECT_TRUE(!engine.core.IsConcerned(2, {"b"}), "another model is gone");
-  EXPECT_TRUE(!engine.core.IsConcerned(3, {"a"}), "an entry that never had a request for it");
-  EXPECT_TRUE(!engine.core.IsConcerned(4, {"a"}), "an entry that had one a minute ago");
-  EXPECT_TRUE(!engine.core.IsConcerned(5, {"a"}), "an entry that has said nothing");
+  EXPECT_TRUE(engine.core.IsAffected(1, {}), "an entry whose request waits");
+  EXPECT_TRUE(engine.core.IsAffected(2, {"a"}), "an entry that has just sent one for it");
+  EXPECT_TRUE(!engine.core.IsAffected(2, {"b"}), "another model is gone");
+  EXPECT_TRUE(!engine.core.IsAffected(3, {"a"}), "an entry that never had a request for it");
+  EXPECT_TRUE(!engine.core.IsAffected(4, {"a"}), "an entry that had one a minute ago");
+  EXPECT_TRUE(!engine.core.IsAffected(5, {"a"}), "an entry that has said nothing");
 }
 
 TEST(PlacementViews, NameTheModelsThatAreGoneAndThoseThatLostAnAdapter) {
@@ -483,7 +488,7 @@
   before.loaded = {{"a", {}}, {"b", {"x", "y"}}, {"c", {"z"}}};
   EngineView after;
   after.loaded = {{"b", {"y"}}, {"c", {"z", "w"}}, {"d", {}}};
-  const auto gone = GoneModels(before, after);
+  const auto gone = RemovedModels(before, after);
   EXPECT_NUMBER(2, gone.size(), "a as a whole, and b's x");
   EXPECT_TEXT("a", gone.at(0), "");
   EXPECT_TEXT("b", gone.at(1), "");
@@ -569,7 +574,8 @@
   EXPECT_TRUE(read.per_s.at("a") == 1.5, "");
   EXPECT_TRUE(read.closing_ms.at("a") == 250, "");
   EXPECT_TRUE(read.wants_per_s == 1.25, "");
-  AgentDemand demand{"e", "u1", {Wanted("a", 2, 0, "x", 9)}, {Used("a", 1, 0.5, 2)}, {"d"}, false};
+  AgentDemand demand{"e",   "u1", {MakeDemand("a", 2, 0, "x", 9)}, {MakeUse("a", 1, 0.5, 2)},
+                     {"d"}, false};
   demand.use[0].adapters_in_use = {"x"};
   demand.use[0].target_ms = 300;
   demand.wanted[0].callers_late = 2.5;
@@ -615,7 +621,8 @@
 
 TEST(PlacementMessages, OfAVersionWithMoreFieldsAreReadWithoutThem) {
   using nlohmann::json;
-  AgentDemand demand{"e", "u1", {Wanted("a", 2, 0, "x", 9)}, {Used("a", 1, 0.5, 2)}, {}, true};
+  AgentDemand demand{"e", "u1", {MakeDemand("a", 2, 0, "x", 9)}, {MakeUse("a", 1, 0.5, 2)},
+                     {},  true};
   json newer = json::from_cbor(EncodeDemand(demand));
   newer["w"][0].push_back("of a later version");
   newer["u"][0].push_back(json::array());
--- a/test/platform_test.cc
+++ b/test/platform_test.cc
@@ -175,9 +175,9 @@
           "sequence":2,"waiting":1,"running":12,"kvUsed":45000,"kvTotal":90000,"handles":0,
           "coming":["m1/a3@2"],"atHand":{"inMemory":["m1"],"onDisk":["m1","m2"]}})");
   EXPECT_TRUE(report.has_value() && report.value().is_busy, "an order is under way");
-  EXPECT_TEXT("m1/a3", report.value().adapters_coming.at(0).ToString(), "without its version");
+  EXPECT_TEXT("m1/a3", report.value().loading_adapters.at(0).ToString(), "without its version");
   EXPECT_TEXT("m2", report.value().on_disk.at(1), "");
-  EXPECT_TRUE(report.value().kv_share == 0.5, "a share of the memory for tokens");
+  EXPECT_TRUE(report.value().kv_cache_usage == 0.5, "a share of the memory for tokens");
 }
 
 namespace {
@@ -451,13 +451,13 @@
   HttpClient http(io);
   EngineCalls calls(http, engine.endpoint());
   const auto give = [&](const EngineOrder& order) {
-    std::optional<OrderAnswer> answer;
-    calls.Give(order, "i-1", {"vm-1", 41}, [&](OrderAnswer it) { answer = it; });
+    std::optional<EngineOrderResult> answer;
+    calls.Give(order, "i-1", {"vm-1", 41}, [&](EngineOrderResult it) { answer = it; });
     RunUntil(io, [&] { return answer.has_value(); });
-    return answer.value_or(OrderAnswer::kRejected);
+    return answer.value_or(EngineOrderResult::kRejected);
   };
   const EngineOrder order{OrderKind::kLoad, {"m1", "a1"}, 7, "", ""};
-  EXPECT_TRUE(give(order) == OrderAnswer::kAccepted, "");
+  EXPECT_TRUE(give(order) == EngineOrderResult::kAccepted, "");
   const SeenRequest& seen = engine.seen().at(0);
   EXPECT_TEXT("POST /order HTTP/1.1", seen.Line(), "");
   EXPECT_TEXT("i-1", seen.Field("Expect-Instance"), "");
@@ -465,13 +465,13 @@
               R"("operation":"load"})",
               seen.body, "");
   status = 409;
-  EXPECT_TRUE(give(order) == OrderAnswer::kConflict, "");
+  EXPECT_TRUE(give(order) == EngineOrderResult::kConflict, "");
   status = 412;
-  EXPECT_TRUE(give(order) == OrderAnswer::kStaleFence, "");
+  EXPECT_TRUE(give(order) == EngineOrderResult::kStaleFence, "");
   status = 421;
-  EXPECT_TRUE(give(order) == OrderAnswer::kOtherInstance, "");
+  EXPECT_TRUE(give(order) == EngineOrderResult::kOtherInstance, "");
   status = 0;
-  EXPECT_TRUE(give(order) == OrderAnswer::kUnknown, "it was sent and not answered");
+  EXPECT_TRUE(give(order) == EngineOrderResult::kUnknown, "it was sent and not answered");
 }
 
 }  // namespace junctionrail::platform
--- a/test/random_placement_test.cc
+++ b/test/random_placement_test.cc
@@ -12,8 +12,8 @@
 namespace junctionrail::test {
 namespace {
 
-constexpr double kRoomMb = 230;
-constexpr int kPlaces = 3;
+constexpr double kAcceleratorMb = 230;
+constexpr int kAdapterSlots = 3;
 constexpr int kModels = 6;
 constexpr int kAdapters = 5;
 constexpr TimeMs kStepMs = 40;
@@ -23,15 +23,15 @@
 // The engine as the platform's pages describe it.
 class FakeEngine {
  public:
-  struct Flying {
+  struct DelayedOrder {
     EngineOrder order;
-    TimeMs lands_at = 0;
+    TimeMs arrives_at = 0;
   };
 
   EngineSpec Spec() const {
     EngineSpec spec;
-    spec.accelerator_mb = kRoomMb;
-    spec.adapter_places = kPlaces;
+    spec.accelerator_mb = kAcceleratorMb;
+    spec.adapter_places = kAdapterSlots;
     for (int n = 0; n < kModels; ++n) {
       spec.models.push_back({ModelName(n), 72, 1, 600, 120, 80});
     }
@@ -39,19 +39,20 @@
   }
 
   // Takes an order, now or late. Breaches of the engine's room throw.
-  OrderAnswer Take(const EngineOrder& order, TimeMs now) {
-    if (order.expected_sequence != sequence || busy_until > now) return OrderAnswer::kConflict;
+  EngineOrderResult Execute(const EngineOrder& order, TimeMs now) {
+    if (order.expected_sequence != sequence || busy_until > now)
+      return EngineOrderResult::kConflict;
     ++sequence;
     if (order.kind == OrderKind::kLoad) Load(order.target, now);
     if (order.kind == OrderKind::kUnload) Unload(order.target, now);
-    return OrderAnswer::kAccepted;
+    return EngineOrderResult::kAccepted;
   }
 
-  void Land(TimeMs now) {
-    while (!flying.empty() && flying.front().lands_at <= now) {
-      const EngineOrder order = flying.front().order;
-      flying.pop_front();
-      Take(order, now);
+  void DeliverDelayedOrders(TimeMs now) {
+    while (!delayed_orders.empty() && delayed_orders.front().arrives_at <= now) {
+      const EngineOrder order = delayed_orders.front().order;
+      delayed_orders.pop_front();
+      Execute(order, now);
     }
   }
 
@@ -59,13 +60,13 @@
     loaded.clear();
     sequence = 0;
     busy_until = 0;
-    pending.reset();
+    loading_model.reset();
   }
 
   EngineReport Report(TimeMs now) {
-    if (pending && busy_until <= now) {
-      loaded.push_back({*pending, {}});
-      pending.reset();
+    if (loading_model && busy_until <= now) {
+      loaded.push_back({*loading_model, {}});
+      loading_model.reset();
     }
     EngineReport report;
     report.loaded = loaded;
@@ -77,19 +78,19 @@
 
   std::vector<LoadedModel> loaded;
   std::vector<std::string> on_disk;
-  std::optional<std::string> pending;
+  std::optional<std::string> loading_model;
   std::int64_t sequence = 0;
   TimeMs busy_until = 0;
-  std::deque<Flying> flying;
+  std::deque<DelayedOrder> delayed_orders;
 
  private:
   double UsedMb() const {
-    double mb = pending ? 72 : 0;
+    double mb = loading_model ? 72 : 0;
     for (const auto& it : loaded) mb += 72 + static_cast<double>(it.adapters.size());
     return mb;
   }
 
-  int UsedPlaces() const {
+  int UsedAdapterSlots() const {
     std::size_t n = 0;
     for (const auto& it : loaded) n += it.adapters.size();
     return static_cast<int>(n);
@@ -97,16 +98,16 @@
 
   void Load(const ModelRef& target, TimeMs now) {
     if (target.adapter.empty()) {
-      Require(UsedMb() + 72 <= kRoomMb, "the engine falls: no room for the model");
-      pending = target.model;
+      Require(UsedMb() + 72 <= kAcceleratorMb, "the engine falls: no room for the model");
+      loading_model = target.model;
       busy_until = now + 120;
       on_disk.push_back(target.model);
       return;
     }
     for (auto& it : loaded) {
       if (it.name != target.model) continue;
-      Require(UsedPlaces() < kPlaces, "the engine falls: no place for the adapter");
-      Require(UsedMb() + 1 <= kRoomMb, "the engine falls: no room for the adapter");
+      Require(UsedAdapterSlots() < kAdapterSlots, "the engine falls: no place for the adapter");
+      Require(UsedMb() + 1 <= kAcceleratorMb, "the engine falls: no room for the adapter");
       it.adapters.push_back(target.adapter);
     }
   }
@@ -126,22 +127,22 @@
   }
 };
 
-class PlacementWorld {
+class PlacementSimulation {
  public:
-  explicit PlacementWorld(std::uint32_t) { Reset("u0"); }
+  explicit PlacementSimulation(std::uint32_t) { Reset("u0"); }
 
   void Step(Word word) {
     now_ += kStepMs;
-    engine_.Land(now_);
+    engine_.DeliverDelayedOrders(now_);
     const std::uint32_t event = word.Take(100);
     if (event < 3) RestartEngine();
     if (event >= 3 && event < 6) Reset(core_.instance());  // The agent's own process.
-    if (event >= 6 && event < 40) Demand(&word);
-    if (event >= 40 && event < 45) core_.OnEntryGone(1);
+    if (event >= 6 && event < 40) SendDemand(&word);
+    if (event >= 40 && event < 45) core_.OnEntryDisconnected(1);
     if (word.Take(10) < 8) core_.OnReport(engine_.Report(now_), now_);
     const auto order = core_.NextOrder(now_);
-    if (order) Give(*order, &word);
-    core_.View(now_);
+    if (order) GiveOrder(*order, &word);
+    core_.BuildView(now_);
   }
 
   // With no more trouble, what is wanted is loaded within seconds.
@@ -149,13 +150,13 @@
     const ModelRef wanted{ModelName(0), "x0"};
     for (int n = 0; n < 400; ++n) {
       now_ += kStepMs;
-      engine_.Land(now_);
+      engine_.DeliverDelayedOrders(now_);
       AgentDemand demand{"e", core_.instance(), {}, {}, {}};
       demand.wanted.push_back({wanted, 5, 0, 5000});
       core_.OnDemand(1, demand, now_);
       core_.OnReport(engine_.Report(now_), now_);
       const auto order = core_.NextOrder(now_);
-      if (order) core_.OnAnswer(*order, engine_.Take(*order, now_), now_);
+      if (order) core_.OnOrderResult(*order, engine_.Execute(*order, now_), now_);
       for (const auto& it : engine_.Report(now_).loaded) {
         const bool has_adapter =
             std::find(it.adapters.begin(), it.adapters.end(), "x0") != it.adapters.end();
@@ -176,10 +177,10 @@
     engine_.Restart();
     core_.Reset("u" + std::to_string(++restarts_));
     // Orders meant for the instance before are refused by name.
-    engine_.flying.clear();
+    engine_.delayed_orders.clear();
   }
 
-  void Demand(Word* word) {
+  void SendDemand(Word* word) {
     AgentDemand demand{"e", core_.instance(), {}, {}, {}};
     const int n = static_cast<int>(word->Take(4));
     for (int i = 0; i < n; ++i) {
@@ -199,19 +200,20 @@
     core_.OnDemand(1 + word->Take(3), demand, now_);
   }
 
-  void Give(const EngineOrder& order, Word* word) {
-    const int fate = static_cast<int>(word->Take(10));
-    if (fate < 6) return core_.OnAnswer(order, engine_.Take(order, now_), now_);
-    if (fate == 6) return core_.OnAnswer(order, OrderAnswer::kRejected, now_);  // Never sent.
-    if (fate == 7) engine_.Take(order, now_);  // Taken; its answer is lost.
-    if (fate == 9) {
+  void GiveOrder(const EngineOrder& order, Word* word) {
+    const int outcome = static_cast<int>(word->Take(10));
+    if (outcome < 6) return core_.OnOrderResult(order, engine_.Execute(order, now_), now_);
+    if (outcome == 6)
+      return core_.OnOrderResult(order, EngineOrderResult::kRejected, now_);  // Never sent.
+    if (outcome == 7) engine_.Execute(order, now_);  // Taken; its answer is lost.
+    if (outcome == 9) {
       const TimeMs delay = 200 + static_cast<int>(word->Take(8800));
-      engine_.flying.push_back({order, now_ + delay});
-      std::sort(engine_.flying.begin(), engine_.flying.end(),
-                [](const auto& a, const auto& b) { return a.lands_at < b.lands_at; });
+      engine_.delayed_orders.push_back({order, now_ + delay});
+      std::sort(engine_.delayed_orders.begin(), engine_.delayed_orders.end(),
+                [](const auto& a, const auto& b) { return a.arrives_at < b.arrives_at; });
     }
     // Else it was lost on its way and never lands.
-    core_.OnAnswer(order, OrderAnswer::kUnknown, now_);
+    core_.OnOrderResult(order, EngineOrderResult::kUnknown, now_);
   }
 
   FakeEngine engine_;
@@ -225,7 +227,7 @@
 TEST_GROUP(RandomPlacement){};
 
 TEST(RandomPlacement, NeverOverfillsAnEngineAndServesAgainAfterTrouble) {
-  EXPECT_TRUE(RunAtRandom<PlacementWorld>("placement"),
+  EXPECT_TRUE(RunAtRandom<PlacementSimulation>("placement"),
               "RapidCheck printed the shortest run that breaks");
 }
 
--- a/test/support/model_fleet.cc
+++ b/test/support/fleet_simulation.cc
@@ -1,4 +1,4 @@
-#include "model_fleet.h"
+#include "fleet_simulation.h"
 
 #include <algorithm>
 #include <utility>
@@ -14,14 +14,14 @@
 constexpr DurationMs kDemandMs = 250;
 constexpr DurationMs kRepeatViewMs = 500;
 constexpr DurationMs kActiveReportMs = 50;
-constexpr DurationMs kQuietReportMs = 500;
+constexpr DurationMs kIdleReportMs = 500;
 constexpr double kModelMb = 72;
 
 std::string ModelName(int n) { return "m" + std::to_string(n); }
 
-EngineSpec SpecOf(const ModelledFleet& fleet) {
+EngineSpec SpecOf(const FleetConfig& fleet) {
   EngineSpec spec;
-  spec.accelerator_mb = kModelMb * fleet.places + 1;
+  spec.accelerator_mb = kModelMb * fleet.model_capacity + 1;
   spec.adapter_places = 8;
   for (int n = 0; n < fleet.models; ++n) {
     spec.models.push_back(
@@ -32,10 +32,11 @@
 
 }  // namespace
 
-ModelFleet::ModelFleet(ModelledFleet fleet) : fleet_(std::move(fleet)), random_(fleet_.seed) {
+FleetSimulation::FleetSimulation(FleetConfig fleet)
+    : fleet_(std::move(fleet)), random_(fleet_.seed) {
   for (const auto& it : fleet_.loads) outcomes_[it.name] = {};
   engines_.resize(static_cast<std::size_t>(fleet_.engines));
-  for (int n = 0; n < fleet_.engines; ++n) Replace(n);
+  for (int n = 0; n < fleet_.engines; ++n) ReplaceEngine(n);
   // Each model is loaded on an engine as far as there is room, busy ones on several;
   // the others are on the disk of one.
   std::vector<int> first;
@@ -44,7 +45,7 @@
   }
   int next = fleet_.busy_models;
   for (auto& engine : engines_) {
-    for (int n = 0; n < fleet_.places; ++n) {
+    for (int n = 0; n < fleet_.model_capacity; ++n) {
       const bool is_busy = !first.empty() && n == 0;
       const int model = is_busy ? first.back() : next++;
       if (is_busy) first.pop_back();
@@ -67,36 +68,36 @@
         Entry{UpstreamTable(options), {}, now_ + DurationMs{n} * 17 % kDemandMs, false, {}});
     entries_.back().table.ApplyServices({{kService, 100, SpecOf(fleet_)}});
   }
-  List();
+  PublishListing();
 }
 
-void ModelFleet::Replace(int n) {
+void FleetSimulation::ReplaceEngine(int n) {
   Engine& engine = engines_[static_cast<std::size_t>(n)];
-  for (const auto& it : engine.runs) End(it, &ModelledOutcome::abandoned);
-  for (const auto& it : engine.queue) End(it, &ModelledOutcome::abandoned);
+  for (const auto& it : engine.running) RecordOutcome(it, &WorkloadOutcome::abandoned);
+  for (const auto& it : engine.queue) RecordOutcome(it, &WorkloadOutcome::abandoned);
   by_instance_.erase(engine.instance);
   engine = Engine();
   engine.instance = "e" + std::to_string(n) + "-" + std::to_string(++generation_);
-  engine.report_at = now_ + DurationMs{n} * 13 % kQuietReportMs;
-  engine.repeated_at = now_ - DurationMs{n} * 29 % kRepeatViewMs;
+  engine.next_report_at = now_ + DurationMs{n} * 13 % kIdleReportMs;
+  engine.view_repeated_at = now_ - DurationMs{n} * 29 % kRepeatViewMs;
   engine.core.Reset(engine.instance);
   engine.core.SetSpec(SpecOf(fleet_));
   by_instance_[engine.instance] = n;
-  if (!entries_.empty()) List();
+  if (!entries_.empty()) PublishListing();
 }
 
-void ModelFleet::Add() {
+void FleetSimulation::AddEngine() {
   engines_.emplace_back();
   ++fleet_.engines;
-  Replace(fleet_.engines - 1);
+  ReplaceEngine(fleet_.engines - 1);
 }
 
-void ModelFleet::Leave(int n) {
+void FleetSimulation::MarkLeaving(int n) {
   engines_[static_cast<std::size_t>(n)].is_leaving = true;
-  List();
+  PublishListing();
 }
 
-void ModelFleet::List() {
+void FleetSimulation::PublishListing() {
   std::vector<UpstreamRecord> listing;
   for (int n = 0; n < fleet_.engines; ++n) {
     const Engine& it = engines_[static_cast<std::size_t>(n)];
@@ -108,27 +109,27 @@
   for (auto& it : entries_) it.table.ApplyListing(listing, now_);
 }
 
-void ModelFleet::Run(DurationMs ms) {
+void FleetSimulation::Run(DurationMs ms) {
   for (const TimeMs until = now_ + ms; now_ < until;) {
     now_ += kStepMs;
-    Arrive();
+    AddArrivals();
     int loads = 0;
     for (auto& it : engines_) loads += it.is_from_store ? 1 : 0;
     const double speed =
         std::min(1.0, static_cast<double>(fleet_.store_loads) / std::max(1, loads));
     for (auto& it : engines_) {
-      GoOn(it, it.is_from_store ? speed : 1);
-      Serve(it);
+      Advance(it, it.is_from_store ? speed : 1);
+      RunAgent(it);
     }
     for (int n = 0; n < fleet_.entries; ++n) {
-      WakeParked(n);
-      Tell(n);
+      RetryParked(n);
+      SendDemands(n);
     }
     changed_.clear();
   }
 }
 
-void ModelFleet::Arrive() {
+void FleetSimulation::AddArrivals() {
   std::uniform_real_distribution<double> chance(0, 1);
   for (const auto& load : fleet_.loads) {
     double expected = load.per_s * kStepMs / 1000;
@@ -137,20 +138,20 @@
       Request request;
       request.load = &load;
       request.id = "r" + std::to_string(++last_id_);
-      request.came_at = now_;
+      request.arrived_at = now_;
       std::uniform_int_distribution<int> n(load.first_model, load.last_model - 1);
       request.model = ModelRef{ModelName(n(random_)), {}};
       request.entry = std::uniform_int_distribution<int>(0, fleet_.entries - 1)(random_);
       ++outcomes_[load.name].requests;
       entries_[static_cast<std::size_t>(request.entry)].table.OnArrival(
           request.model, load.priority, load.target_ms, now_);
-      Offer(std::move(request), true);
+      Dispatch(std::move(request), true);
     }
   }
 }
 
 // As Exchange does: sent, kept waiting, or refused when the wait is too long.
-void ModelFleet::Offer(Request request, bool is_new) {
+void FleetSimulation::Dispatch(Request request, bool is_new) {
   Entry& entry = entries_[static_cast<std::size_t>(request.entry)];
   PickRequest pick;
   pick.service = kService;
@@ -159,50 +160,50 @@
   const Pick choice = entry.table.Choose(pick, now_);
   if (const auto* to = std::get_if<SendTo>(&choice)) return Send(to->instance, std::move(request));
   const auto* wait = std::get_if<WaitFor>(&choice);
-  const DurationMs patience =
-      request.came_at + request.load->patience_ms - now_ - entry.table.FirstEventMs(request.model);
+  const DurationMs patience = request.arrived_at + request.load->patience_ms - now_ -
+                              entry.table.FirstEventMs(request.model);
   if (wait == nullptr || wait->estimate_ms > patience) {
-    return End(request, &ModelledOutcome::refused);
+    return RecordOutcome(request, &WorkloadOutcome::refused);
   }
   if (is_new) request.parked_at = now_;
-  entry.has_new_ask |= request.asked != wait->instance;
+  entry.has_new_target |= request.asked != wait->instance;
   request.asked = wait->instance;
   entry.parked.push_back(std::move(request));
 }
 
-void ModelFleet::End(const Request& request, int ModelledOutcome::*what) {
+void FleetSimulation::RecordOutcome(const Request& request, int WorkloadOutcome::*what) {
   ++(outcomes_[request.load->name].*what);
 }
 
-void ModelFleet::WakeParked(int n) {
+void FleetSimulation::RetryParked(int n) {
   Entry& entry = entries_[static_cast<std::size_t>(n)];
   const bool is_tick = (now_ / kStepMs + n) % (kDemandMs / kStepMs) == 0;
   std::list<Request> all;
   all.swap(entry.parked);
   for (auto& it : all) {
-    const bool is_concerned =
+    const bool is_affected =
         is_tick || changed_.count(it.asked) > 0 ||
         std::any_of(changed_.begin(), changed_.end(), [&](const std::string& instance) {
           return entry.table.HoldsNow(instance, it.model, now_);
         });
-    if (is_concerned) {
-      Offer(std::move(it), false);
+    if (is_affected) {
+      Dispatch(std::move(it), false);
     } else {
       entry.parked.push_back(std::move(it));
     }
   }
 }
 
-void ModelFleet::Tell(int n) {
+void FleetSimulation::SendDemands(int n) {
   Entry& entry = entries_[static_cast<std::size_t>(n)];
-  if (now_ < entry.demand_at && !entry.has_new_ask) return;
-  if (now_ >= entry.demand_at) entry.demand_at = now_ + kDemandMs;
-  entry.has_new_ask = false;
+  if (now_ < entry.next_demand_at && !entry.has_new_target) return;
+  if (now_ >= entry.next_demand_at) entry.next_demand_at = now_ + kDemandMs;
+  entry.has_new_target = false;
   std::map<ModelRef, UpstreamTable::Waiting> waiting;
   for (const auto& it : entry.parked) {
     UpstreamTable::Waiting& wait = waiting[it.model];
     const bool is_first = wait.count++ == 0;
-    const TimeMs late_at = it.came_at + it.load->target_ms;
+    const TimeMs late_at = it.arrived_at + it.load->target_ms;
     wait.ref = it.model;
     wait.service = kService;
     wait.priority = is_first ? it.load->priority : std::min(wait.priority, it.load->priority);
@@ -220,15 +221,15 @@
     const auto engine = by_instance_.find(instance);
     if (engine == by_instance_.end()) continue;
     Engine& it = engines_[static_cast<std::size_t>(engine->second)];
-    if (!demand.wanted.empty()) it.report_at = now_;
+    if (!demand.wanted.empty()) it.next_report_at = now_;
     it.core.OnDemand(static_cast<std::uint64_t>(n), demand, now_);
   }
 }
 
-void ModelFleet::Send(const std::string& instance, Request request) {
+void FleetSimulation::Send(const std::string& instance, Request request) {
   Entry& entry = entries_[static_cast<std::size_t>(request.entry)];
   const auto found = by_instance_.find(instance);
-  if (found == by_instance_.end()) return End(request, &ModelledOutcome::refused);
+  if (found == by_instance_.end()) return RecordOutcome(request, &WorkloadOutcome::refused);
   Engine& engine = engines_[static_cast<std::size_t>(found->second)];
   const auto& loaded = engine.report.loaded;
   const bool is_loaded = std::any_of(loaded.begin(), loaded.end(), [&](const LoadedModel& it) {
@@ -236,48 +237,48 @@
   });
   if (!is_loaded) {
     entry.table.OnNotLoaded(instance, request.model, now_);
-    return Offer(std::move(request), false);
+    return Dispatch(std::move(request), false);
   }
   entry.table.OnSent(instance, request.model, now_);
   request.sent_at = now_;
   engine.queue.push_back(std::move(request));
-  StartRuns(engine);
+  StartQueued(engine);
 }
 
-void ModelFleet::StartRuns(Engine& engine) {
-  while (!engine.queue.empty() && static_cast<int>(engine.runs.size()) < fleet_.slots) {
+void FleetSimulation::StartQueued(Engine& engine) {
+  while (!engine.queue.empty() && static_cast<int>(engine.running.size()) < fleet_.slots) {
     Request request = std::move(engine.queue.front());
     engine.queue.pop_front();
     Entry& entry = entries_[static_cast<std::size_t>(request.entry)];
-    const DurationMs first = now_ + kFirstEventMs - request.came_at;
+    const DurationMs first = now_ + kFirstEventMs - request.arrived_at;
     if (first > request.load->patience_ms) {
       entry.table.OnEnd(engine.instance, request.model, AttemptEnd::kAbandoned, now_);
-      End(request, &ModelledOutcome::abandoned);
+      RecordOutcome(request, &WorkloadOutcome::abandoned);
       continue;
     }
     entry.table.OnFirstEvent(request.model, now_ + kFirstEventMs - request.sent_at);
     entry.table.OnHeard(engine.instance, now_);
-    request.ends_at = now_ + request.load->runs_ms;
-    End(request,
-        first <= request.load->target_ms ? &ModelledOutcome::in_target : &ModelledOutcome::late);
-    engine.runs.push_back(std::move(request));
+    request.ends_at = now_ + request.load->service_ms;
+    RecordOutcome(request, first <= request.load->target_ms ? &WorkloadOutcome::on_time
+                                                            : &WorkloadOutcome::late);
+    engine.running.push_back(std::move(request));
   }
 }
 
-void ModelFleet::GoOn(Engine& engine, double speed) {
-  for (auto it = engine.runs.begin(); it != engine.runs.end();) {
+void FleetSimulation::Advance(Engine& engine, double speed) {
+  for (auto it = engine.running.begin(); it != engine.running.end();) {
     if (it->ends_at > now_) {
       ++it;
       continue;
     }
     entries_[static_cast<std::size_t>(it->entry)].table.OnEnd(engine.instance, it->model,
                                                               AttemptEnd::kServed, now_);
-    it = engine.runs.erase(it);
+    it = engine.running.erase(it);
   }
-  StartRuns(engine);
+  StartQueued(engine);
   if (!engine.unloading.empty()) {
     const auto uses = [&](const Request& it) { return it.model.model == engine.unloading; };
-    const bool is_used = std::any_of(engine.runs.begin(), engine.runs.end(), uses) ||
+    const bool is_used = std::any_of(engine.running.begin(), engine.running.end(), uses) ||
                          std::any_of(engine.queue.begin(), engine.queue.end(), uses);
     if (is_used) return;
     auto& loaded = engine.report.loaded;
@@ -299,14 +300,14 @@
 }
 
 // The one unused for longest gives way.
-void ModelFleet::PutOnDisk(Engine& engine, const std::string& model) {
+void FleetSimulation::PutOnDisk(Engine& engine, const std::string& model) {
   auto& disk = engine.report.on_disk;
   disk.erase(std::remove(disk.begin(), disk.end(), model), disk.end());
   disk.push_back(model);
-  if (static_cast<int>(disk.size()) > fleet_.disk_models) disk.erase(disk.begin());
+  if (static_cast<int>(disk.size()) > fleet_.disk_capacity) disk.erase(disk.begin());
 }
 
-void ModelFleet::Take(Engine& engine, const EngineOrder& order) {
+void FleetSimulation::ExecuteOrder(Engine& engine, const EngineOrder& order) {
   ++engine.report.sequence;
   engine.report.is_busy = true;
   if (order.kind == OrderKind::kUnload) {
@@ -321,34 +322,34 @@
   ++(engine.is_from_store ? loads_from_store_ : loads_from_disk_);
 }
 
-void ModelFleet::Serve(Engine& engine) {
-  if (now_ < engine.report_at) return;
-  engine.report.running = static_cast<int>(engine.runs.size());
+void FleetSimulation::RunAgent(Engine& engine) {
+  if (now_ < engine.next_report_at) return;
+  engine.report.running = static_cast<int>(engine.running.size());
   engine.report.waiting = static_cast<int>(engine.queue.size());
   engine.core.OnReport(engine.report, now_);
   const auto order = engine.core.NextOrder(now_);
   if (order) {
-    Take(engine, *order);
-    engine.core.OnAnswer(*order, OrderAnswer::kAccepted, now_);
+    ExecuteOrder(engine, *order);
+    engine.core.OnOrderResult(*order, EngineOrderResult::kAccepted, now_);
   }
-  engine.report_at = now_ + (engine.core.IsActive() ? kActiveReportMs : kQuietReportMs);
+  engine.next_report_at = now_ + (engine.core.IsActive() ? kActiveReportMs : kIdleReportMs);
   SendViews(engine);
 }
 
-void ModelFleet::SendViews(Engine& engine) {
-  const EngineView view = engine.core.View(now_);
-  const bool is_due = now_ - engine.repeated_at >= kRepeatViewMs;
-  const bool has_news = !ChangedParts(engine.sent, view).IsEmpty() ||
-                        engine.sent.store_want.has_value() != view.store_want.has_value();
+void FleetSimulation::SendViews(Engine& engine) {
+  const EngineView view = engine.core.BuildView(now_);
+  const bool is_due = now_ - engine.view_repeated_at >= kRepeatViewMs;
+  const bool has_news = !ChangedParts(engine.sent_view, view).IsEmpty() ||
+                        engine.sent_view.store_want.has_value() != view.store_want.has_value();
   if (!is_due && !has_news) return;
-  const auto gone = GoneModels(engine.sent, view);
-  if (is_due) engine.repeated_at = now_;
+  const auto gone = RemovedModels(engine.sent_view, view);
+  if (is_due) engine.view_repeated_at = now_;
   for (int n = 0; n < fleet_.entries; ++n) {
-    const bool is_told = is_due || engine.core.IsConcerned(static_cast<std::uint64_t>(n), gone);
+    const bool is_told = is_due || engine.core.IsAffected(static_cast<std::uint64_t>(n), gone);
     if (is_told) entries_[static_cast<std::size_t>(n)].table.ApplyView(view, now_);
   }
   changed_.insert(engine.instance);
-  engine.sent = view;
+  engine.sent_view = view;
 }
 
 }  // namespace junctionrail::testing
