--- a/bench/bench_limits.cc
+++ b/bench/bench_limits.cc
@@ -32,31 +32,31 @@
   int taken = 0;
 };
 
-int CountTaken(const std::vector<QuotaTaker::Outcome>& outcomes) {
+int CountTaken(const std::vector<QuotaClient::Outcome>& outcomes) {
   int taken = 0;
   for (const auto& it : outcomes) {
-    if (it.verdict.decision == QuotaTaker::Decision::kTaken) ++taken;
+    if (it.admission.decision == QuotaClient::Decision::kAdmitted) ++taken;
   }
   return taken;
 }
 
 // One step of an entry: its requests, and what its giver answers.
-void Pass(QuotaTaker* taker, QuotaGiver* giver, int upstreams, bool has_requests, TimeMs now,
+void Pass(QuotaClient* taker, QuotaAllocator* giver, int upstreams, bool has_requests, TimeMs now,
           Cost* cost) {
   auto start = Clock::now();
   std::uint64_t ticket = 0;
   for (int k = 0; has_requests && k < upstreams; ++k) {
-    const auto verdict = taker->TakeOfUpstream(Instance(k), ++ticket, now);
-    if (verdict.decision == QuotaTaker::Decision::kTaken) ++cost->taken;
+    const auto verdict = taker->AcquireForUpstream(Instance(k), ++ticket, now);
+    if (verdict.decision == QuotaClient::Decision::kAdmitted) ++cost->taken;
   }
   const auto messages = taker->TakeMessages(now);
   cost->entries_ms += MillisecondsSince(start);
   for (const auto& it : messages) {
     start = Clock::now();
-    const QuotaGrant grant = giver->OnAsk(it.ask, now);
+    const QuotaGrant grant = giver->OnRequest(it.request, now);
     cost->giver_ms += MillisecondsSince(start);
-    cost->bytes += EncodeQuotaAsk(it.ask).size();
-    if (!grant.shares.empty()) cost->bytes += EncodeQuotaGrant(grant).size();
+    cost->bytes += EncodeQuotaRequest(it.request).size();
+    if (!grant.allocations.empty()) cost->bytes += EncodeQuotaGrant(grant).size();
     start = Clock::now();
     cost->taken += CountTaken(taker->OnGrant(grant, now));
     cost->entries_ms += MillisecondsSince(start);
@@ -64,14 +64,15 @@
 }
 
 void Measure(int entries, int upstreams) {
-  QuotaGiver giver;
-  std::vector<std::unique_ptr<QuotaTaker>> takers;
+  QuotaAllocator giver;
+  std::vector<std::unique_ptr<QuotaClient>> takers;
   TimeMs now = 1000000;
   for (int n = 0; n < entries; ++n) {
-    takers.push_back(std::make_unique<QuotaTaker>("entry-" + std::to_string(n)));
-    takers.back()->SetEntries(entries, now);
-    takers.back()->SetGivers({{"agent", "10.0.0.1:1"}}, now);
-    for (int k = 0; k < upstreams; ++k) takers.back()->LimitUpstream(Instance(k), kLimitPerS, now);
+    takers.push_back(std::make_unique<QuotaClient>("entry-" + std::to_string(n)));
+    takers.back()->SetEntryCount(entries, now);
+    takers.back()->SetAllocators({{"agent", "10.0.0.1:1"}}, now);
+    for (int k = 0; k < upstreams; ++k)
+      takers.back()->SetUpstreamLimit(Instance(k), kLimitPerS, now);
   }
   Cost cost;
   const int steps = static_cast<int>(kSeconds * DurationMs{1000} / kStepMs);
--- a/include/junctionrail/gateway.h
+++ b/include/junctionrail/gateway.h
@@ -132,19 +132,19 @@
   // The VM was suspended until just now: what was read before is older than it seems.
   void OnResumed(std::function<void()> call);
   // An upstream ended with requests of this entry under way that may have caused it.
-  void OnUpstreamEnd(std::function<void(const UpstreamEnd&)> call);
+  void OnUpstreamEnd(std::function<void(const UpstreamCrash&)> call);
   // What this entry found out, and refuses from now on.
   void OnRequestRefused(std::function<void(const RequestDigest&)> call);
   // What is to be sent to givers of quotas, who they are, and what they answer.
-  void OnQuotaMessages(std::function<void(const QuotaTaker::Message&)> call);
-  void SetQuotaGivers(std::vector<QuotaTaker::Giver> givers);
+  void OnQuotaMessages(std::function<void(const QuotaClient::Message&)> call);
+  void SetQuotaGivers(std::vector<QuotaClient::Allocator> givers);
   void ApplyQuotaGrant(const QuotaGrant& grant);
   // The link to that instance has closed.
   void OnQuotaLinkClosed(const std::string& instance);
-  const QuotaTaker& quotas() const;
+  const QuotaClient& quotas() const;
 
   // What other processes saw and found out.
-  void AddUpstreamEnd(const UpstreamEnd& end);
+  void AddUpstreamEnd(const UpstreamCrash& end);
   void RefuseRequest(const RequestDigest& digest);
   // False when it is not refused here.
   bool ReleaseRequest(const RequestDigest& digest);
--- a/include/junctionrail/tenancy.h
+++ b/include/junctionrail/tenancy.h
@@ -33,11 +33,11 @@
 // What an organisation may send over all entries together.
 struct Quota {
   QuotaUnit unit = QuotaUnit::kRequests;
-  double per_s = 0;         // 0: no limit.
-  double burst = 0;         // So much at once, beyond the rate.
-  double plain_tokens = 1;  // What a request counts for that names no tokens.
+  double rate_per_s = 0;      // 0: no limit.
+  double burst = 0;           // So much at once, beyond the rate.
+  double default_tokens = 1;  // What a request counts for that names no tokens.
 
-  bool IsLimited() const { return per_s > 0; }
+  bool IsLimited() const { return rate_per_s > 0; }
 };
 
 struct Organisation {
@@ -59,7 +59,7 @@
 
  private:
   // A digest is as good a hash as any.
-  struct FirstBytes {
+  struct KeyDigestHash {
     std::size_t operator()(const KeyDigest& key) const {
       std::size_t hash = 0;
       std::memcpy(&hash, key.data(), sizeof(hash));
@@ -68,21 +68,21 @@
   };
 
   std::vector<Organisation> organisations_;
-  std::unordered_map<KeyDigest, std::size_t, FirstBytes> by_key_;
+  std::unordered_map<KeyDigest, std::size_t, KeyDigestHash> by_key_;
 };
 
 // --- The age of a configuration ---
 
 // Which configuration is in force here, and up to which moment it is known to have
 // been the newest one.
-class ConfigurationWord {
+class ConfigurationFreshness {
  public:
   // It was put in force; nobody has vouched for it yet.
   void OnApplied(std::uint64_t version);
   // Whoever knows showed `version` as the newest, by an answer to a question that was
   // asked at `as_of`; what was written since may not be in it. False when that is a later
   // one than is in force here, which is to be read first.
-  bool OnShown(std::uint64_t version, TimeMs as_of);
+  bool OnConfirmed(std::uint64_t version, TimeMs as_of);
 
   std::uint64_t version() const { return version_; }
   // 0: never.
@@ -102,249 +102,254 @@
 // former one any more, so that what is given over all is within the limit.
 
 // An entry counts at a giver for so long after it last said that it takes it for one.
-constexpr DurationMs kHoldingMs = 2500;
+constexpr DurationMs kRegistrationTtlMs = 2500;
 
 // What an organisation may send, as the newest version of the configuration that is known has it.
-struct QuotaHolding {
+struct QuotaLimit {
   std::string organisation;
-  double per_s = 0;
+  double rate_per_s = 0;
   double burst = 0;
 
-  bool operator==(const QuotaHolding& other) const {
-    return organisation == other.organisation && per_s == other.per_s && burst == other.burst;
+  bool operator==(const QuotaLimit& other) const {
+    return organisation == other.organisation && rate_per_s == other.rate_per_s &&
+           burst == other.burst;
   }
 };
 
 // All organisations for which an entry takes an agent for the giver.
-struct QuotaHoldings {
+struct QuotaRegistration {
   std::uint64_t version = 0;  // Of the configuration.
-  std::vector<QuotaHolding> all;
+  std::vector<QuotaLimit> limits;
 
-  bool operator==(const QuotaHoldings& other) const {
-    return version == other.version && all == other.all;
+  bool operator==(const QuotaRegistration& other) const {
+    return version == other.version && limits == other.limits;
   }
 };
 
 // Requests of one organisation that wait at an entry, the first of them first.
-struct QuotaWant {
+struct QuotaDemand {
   std::string organisation;
   std::vector<double> amounts;
 };
 
 // Of an entry to a giver.
-struct QuotaAsk {
+struct QuotaRequest {
   std::string entry;
-  std::uint64_t number = 0;
-  int entries = 0;  // That share each limit, as far as it knows.
-  std::vector<QuotaWant> wants;
-  std::optional<QuotaHoldings> holdings;  // None: as said before.
+  std::uint64_t id = 0;
+  int entry_count = 0;  // That share each limit, as far as it knows.
+  std::vector<QuotaDemand> demands;
+  std::optional<QuotaRegistration> registration;  // None: as said before.
 };
 
-struct QuotaShare {
+struct QuotaAllocation {
   std::string organisation;
   std::size_t granted = 0;  // So many of the amounts, the first ones.
-  double ahead = 0;         // And so much for requests to come.
+  double advance = 0;       // And so much for requests to come.
   DurationMs retry_ms = 0;  // Of the others, when the first would be granted.
 };
 
 struct QuotaGrant {
-  std::uint64_t number = 0;  // Of the question.
-  std::vector<QuotaShare> shares;
+  std::uint64_t id = 0;  // Of the question.
+  std::vector<QuotaAllocation> allocations;
 };
 
 // One message each, told from all others by its first bytes.
-std::string EncodeQuotaAsk(const QuotaAsk& ask);
-bool IsQuotaAsk(std::string_view bytes);
-bool DecodeQuotaAsk(std::string_view bytes, QuotaAsk* ask);
+std::string EncodeQuotaRequest(const QuotaRequest& request);
+bool IsQuotaRequest(std::string_view bytes);
+bool DecodeQuotaRequest(std::string_view bytes, QuotaRequest* request);
 std::string EncodeQuotaGrant(const QuotaGrant& grant);
 bool IsQuotaGrant(std::string_view bytes);
 bool DecodeQuotaGrant(std::string_view bytes, QuotaGrant* grant);
 
 // An agent's part.
-class QuotaGiver {
+class QuotaAllocator {
  public:
   // The entry said something, if only that it is there, and does so each `repeat_ms`.
-  void OnHeard(const std::string& entry, DurationMs repeat_ms, TimeMs now);
+  void OnHeartbeat(const std::string& entry, DurationMs heartbeat_interval_ms, TimeMs now);
   // Its link has closed. It may still run.
-  void OnClosed(const std::string& entry, TimeMs now);
-  QuotaGrant OnAsk(const QuotaAsk& ask, TimeMs now);
+  void OnLinkClosed(const std::string& entry, TimeMs now);
+  QuotaGrant OnRequest(const QuotaRequest& request, TimeMs now);
   // To be called each second or more often: a longer time without it counts for nothing.
   void Tick(TimeMs now);
   // What this giver may give of an organisation's limit has changed since the last call.
-  struct PartChange {
+  struct FractionChange {
     std::string organisation;
-    int holders = 0;  // Entries that take it for the giver,
-    int entries = 0;  // of so many.
-    double part = 0;
+    int registered_count = 0;  // Entries that take it for the giver,
+    int entry_count = 0;       // of so many.
+    double fraction = 0;
   };
-  std::vector<PartChange> TakeChanges() { return std::exchange(changes_, {}); }
+  std::vector<FractionChange> TakeChanges() { return std::exchange(changes_, {}); }
 
  private:
   struct Entry {
-    TimeMs heard_at = 0;
-    DurationMs repeat_ms = 0;
-    int entries = 0;     // That it knows of.
-    TimeMs held_at = 0;  // When it last said for what it takes this agent for the giver:
+    TimeMs last_heartbeat_at = 0;
+    DurationMs heartbeat_interval_ms = 0;
+    int known_entries = 0;     // That it knows of.
+    TimeMs registered_at = 0;  // When it last said for what it takes this agent for the giver:
     std::map<std::string, TimeMs> organisations;  // Since when it does.
 
     bool IsLive(TimeMs now) const;
-    bool IsHolding(TimeMs now) const { return now - held_at <= kHoldingMs; }
+    bool IsRegistered(TimeMs now) const { return now - registered_at <= kRegistrationTtlMs; }
   };
   // Of one organisation.
-  struct Holders {
-    int all = 0;
-    int settled = 0;  // That can count at no other giver any more.
+  struct RegistrationCounts {
+    int total = 0;
+    int exclusive = 0;  // That can count at no other giver any more.
   };
   struct Bucket {
     std::uint64_t version = 0;
-    QuotaHolding limit;
-    double level = 0;  // What may be granted; below 0 by what was granted beyond it.
-    TimeMs at = 0;     // Up to when `level` is filled.
-    int holders = 0;   // Entries in touch whose giver this agent is.
-    double part = 0;   // Of the limit, what this giver may give: those of all entries.
+    QuotaLimit limit;
+    double level = 0;          // What may be granted; below 0 by what was granted beyond it.
+    TimeMs refilled_at = 0;    // Up to when `level` is filled.
+    int registered_count = 0;  // Entries in touch whose giver this agent is.
+    double fraction = 0;       // Of the limit, what this giver may give: those of all entries.
 
-    double Most() const { return limit.burst * part; }
+    double Capacity() const { return limit.burst * fraction; }
   };
 
-  void Hold(Entry* entry, const QuotaHoldings& holdings, TimeMs now);
-  std::map<std::string, Holders> CountHolders(TimeMs now) const;
-  void Settle(const std::string& organisation, TimeMs now);
-  QuotaShare Give(const QuotaWant& want, TimeMs now);
+  void Register(Entry* entry, const QuotaRegistration& registration, TimeMs now);
+  std::map<std::string, RegistrationCounts> CountRegistrations(TimeMs now) const;
+  void MarkExclusive(const std::string& organisation, TimeMs now);
+  QuotaAllocation Allocate(const QuotaDemand& demand, TimeMs now);
   // Counts again who is there.
   void Recount(TimeMs now);
-  static void Fill(Bucket* bucket, TimeMs now);
+  static void Refill(Bucket* bucket, TimeMs now);
 
   std::map<std::string, Entry> entries_;
   std::map<std::string, Bucket> buckets_;  // By organisation.
-  std::vector<PartChange> changes_;
-  TimeMs counted_at_ = 0;
+  std::vector<FractionChange> changes_;
+  TimeMs recounted_at_ = 0;
 };
 
 // An entry's part.
-class QuotaTaker {
+class QuotaClient {
  public:
   enum class Decision {
-    kTaken,
-    kAsked,    // It is told by an Outcome.
-    kOver,     // The organisation has used up its quota.
-    kNoGiver,  // No giver answers, and the entry has no share of its own left.
+    kAdmitted,
+    kPending,      // It is told by an Outcome.
+    kOverQuota,    // The organisation has used up its quota.
+    kNoAllocator,  // No giver answers, and the entry has no share of its own left.
   };
-  struct Verdict {
-    Decision decision = Decision::kTaken;
+  struct Admission {
+    Decision decision = Decision::kAdmitted;
     DurationMs retry_ms = 0;  // Of the last two, when something is left again.
   };
   struct Outcome {
     std::uint64_t ticket = 0;
-    Verdict verdict;
+    Admission admission;
   };
-  struct Giver {
+  struct Allocator {
     std::string instance;  // By which it is reached.
     std::string address;   // By which it is chosen: it stays while instances change.
   };
   struct Message {
     std::string instance;
-    QuotaAsk ask;
+    QuotaRequest request;
   };
   // What is known of one organisation here.
   struct Usage {
-    QuotaHolding limit;
-    std::uint64_t taken = 0;    // Requests.
-    std::uint64_t refused = 0;  // Requests, for either reason.
-    double amount = 0;          // Of the requests taken.
-    double credit = 0;          // Granted ahead and not used.
-    std::string giver;          // Its address; empty: none.
-    std::string upstream;       // Whose limit it is; empty: an organisation's.
-    bool is_silent = false;     // It has left a question unanswered just now.
+    QuotaLimit limit;
+    std::uint64_t admitted = 0;        // Requests.
+    std::uint64_t refused = 0;         // Requests, for either reason.
+    double admitted_amount = 0;        // Of the requests taken.
+    double credit = 0;                 // Granted ahead and not used.
+    std::string allocator;             // Its address; empty: none.
+    std::string upstream;              // Whose limit it is; empty: an organisation's.
+    bool is_allocator_silent = false;  // It has left a question unanswered just now.
   };
 
-  explicit QuotaTaker(std::string entry) : entry_(std::move(entry)) {}
+  explicit QuotaClient(std::string entry) : entry_(std::move(entry)) {}
 
   void SetOrganisations(const std::vector<Organisation>& organisations, std::uint64_t version,
                         TimeMs now);
   // Those that may be reached now.
-  void SetGivers(std::vector<Giver> givers, TimeMs now);
+  void SetAllocators(std::vector<Allocator> allocators, TimeMs now);
   // An upstream takes so many requests a second from all entries together; none: as many as
   // come. Those that wait for its share then may go.
-  std::vector<Outcome> LimitUpstream(const std::string& instance, std::optional<double> per_s,
-                                     TimeMs now);
+  std::vector<Outcome> SetUpstreamLimit(const std::string& instance,
+                                        std::optional<double> rate_per_s, TimeMs now);
   // Those of which `has_limit` is false are forgotten.
-  void KeepUpstreams(const std::function<bool(const std::string& instance)>& has_limit);
+  void RetainLimitedUpstreams(const std::function<bool(const std::string& instance)>& has_limit);
   // As Take, of what all entries may send to that upstream.
-  Verdict TakeOfUpstream(const std::string& instance, std::uint64_t ticket, TimeMs now);
+  Admission AcquireForUpstream(const std::string& instance, std::uint64_t ticket, TimeMs now);
   // How many entries share each limit, as the agents in reach count them.
-  void SetEntries(int entries, TimeMs now);
+  void SetEntryCount(int entry_count, TimeMs now);
 
-  Verdict Take(const std::string& organisation, double amount, std::uint64_t ticket, TimeMs now);
+  Admission Acquire(const std::string& organisation, double amount, std::uint64_t ticket,
+                    TimeMs now);
   // Refuses the request if nothing is left just now, so that it is not kept waiting for
   // something else first.
-  std::optional<Verdict> RefuseIfOver(const std::string& organisation, double amount, TimeMs now);
+  std::optional<Admission> RefuseIfOverQuota(const std::string& organisation, double amount,
+                                             TimeMs now);
   // What this giver was told may be lost: its link has closed.
-  void OnClosed(const std::string& instance);
+  void OnLinkClosed(const std::string& instance);
   // The request that asked is over.
   void Cancel(std::uint64_t ticket);
   // What was taken has not run.
-  void GiveBack(const std::string& organisation, double amount, TimeMs now);
+  void Refund(const std::string& organisation, double amount, TimeMs now);
 
   std::vector<Outcome> OnGrant(const QuotaGrant& grant, TimeMs now);
   // Decides without their givers on those that have waited for long enough.
   std::vector<Outcome> Expire(TimeMs now);
   // When Expire has something to do; 0: nothing is waited for.
-  TimeMs NextAt() const;
+  TimeMs NextExpiryAt() const;
   // What is to be sent now.
   std::vector<Message> TakeMessages(TimeMs now);
 
   std::vector<Usage> Usages(TimeMs now) const;
 
  private:
-  struct Waiting {
+  struct PendingRequest {
     std::uint64_t ticket = 0;
     double amount = 0;
   };
   struct Account {
-    QuotaHolding limit;
-    Giver giver;        // Its instance is empty where there is none.
-    double credit = 0;  // Granted ahead.
-    TimeMs credit_until = 0;
-    TimeMs over_until = 0;
-    TimeMs silent_until = 0;
-    double own_level = 0;  // Of the entry's own share, for when there is no giver.
-    TimeMs own_at = 0;     // Up to when it is filled.
-    TimeMs told_at = 0;    // When a giver was last told that it is the one.
+    QuotaLimit limit;
+    Allocator allocator;  // Its instance is empty where there is none.
+    double credit = 0;    // Granted ahead.
+    TimeMs credit_expires_at = 0;
+    TimeMs over_quota_until = 0;
+    TimeMs allocator_silent_until = 0;
+    double local_level = 0;        // Of the entry's own share, for when there is no giver.
+    TimeMs local_refilled_at = 0;  // Up to when it is filled.
+    TimeMs registered_at = 0;      // When a giver was last told that it is the one.
     // From then on the own share may be used though no giver was ever told; 0: never.
-    TimeMs alone_from = 0;
-    std::string upstream;      // Whose limit it is; empty: an organisation's.
-    std::uint64_t number = 0;  // Of the question that is out; 0: none.
-    TimeMs asked_at = 0;
-    std::deque<Waiting> asked;    // In that question.
-    std::deque<Waiting> waiting;  // For the next one.
-    std::uint64_t taken = 0;
+    TimeMs local_since = 0;
+    std::string upstream;          // Whose limit it is; empty: an organisation's.
+    std::uint64_t request_id = 0;  // Of the question that is out; 0: none.
+    TimeMs requested_at = 0;
+    std::deque<PendingRequest> requested;  // In that question.
+    std::deque<PendingRequest> queued;     // For the next one.
+    std::uint64_t admitted = 0;
     std::uint64_t refused = 0;
-    double amount = 0;
+    double admitted_amount = 0;
   };
-  struct Told {
-    QuotaHoldings holdings;
-    TimeMs at = 0;
+  struct SentRegistration {
+    QuotaRegistration registration;
+    TimeMs sent_at = 0;
   };
 
-  void Forget(const std::string& account);
-  Verdict TakeAlone(Account* account, double amount, TimeMs now) const;
-  static Verdict Note(Account* account, double amount, const Verdict& verdict);
-  void ChooseGiver(const std::string& organisation, Account* account, TimeMs now);
-  std::map<std::string, QuotaHoldings> Holdings() const;
-  void AddHoldings(std::map<std::string, QuotaAsk>* asks, TimeMs now);
-  void AddWants(std::map<std::string, QuotaAsk>* asks, TimeMs now);
+  void RemoveAccount(const std::string& account);
+  Admission AcquireLocally(Account* account, double amount, TimeMs now) const;
+  static Admission CountAdmission(Account* account, double amount, const Admission& admission);
+  void ChooseAllocator(const std::string& organisation, Account* account, TimeMs now);
+  std::map<std::string, QuotaRegistration> Registrations() const;
+  void AddRegistrations(std::map<std::string, QuotaRequest>* requests, TimeMs now);
+  void AddDemands(std::map<std::string, QuotaRequest>* requests, TimeMs now);
 
   std::string entry_;
   std::uint64_t version_ = 0;
-  int entries_ = 0;  // The most that were counted lately; 0: not known.
-  TimeMs entries_at_ = 0;
-  std::vector<Giver> givers_;
+  int entry_count_ = 0;  // The most that were counted lately; 0: not known.
+  TimeMs entry_count_at_ = 0;
+  std::vector<Allocator> allocators_;
   std::map<std::string, Account> accounts_;  // Of organisations and upstreams that have a limit.
-  std::map<std::string, std::string> upstreams_;  // The accounts of their limits, by instance.
-  std::map<std::string, Told> told_;              // By instance, what it was last told.
-  bool has_news_ = false;                         // Some giver is to be told of its holdings.
-  TimeMs tell_at_ = 0;                            // When all are told again.
-  std::uint64_t last_number_ = 0;
+  std::map<std::string, std::string>
+      upstream_accounts_;  // The accounts of their limits, by instance.
+  std::map<std::string, SentRegistration>
+      sent_registrations_;                // By instance, what it was last told.
+  bool is_registration_changed_ = false;  // Some giver is to be told of its holdings.
+  TimeMs next_registration_at_ = 0;       // When all are told again.
+  std::uint64_t last_request_id_ = 0;
 };
 
 }  // namespace junctionrail
--- a/src/daemon/direct_agent.cc
+++ b/src/daemon/direct_agent.cc
@@ -107,7 +107,7 @@
     callbacks.fence = [this] { return MonotonicMs() < may_order_at_ ? 0 : fence_; };
     callbacks.raise_fence = [this] { fence_ = std::max(fence_ + 1, upstreams_.place().ToToken()); };
     callbacks.list_soon = [this] { upstreams_.ReadSoon(); };
-    callbacks.record = [this](const UpstreamEnd& end) { recorder_->Record(end); };
+    callbacks.record = [this](const UpstreamCrash& end) { recorder_->Record(end); };
     return callbacks;
   }
 
@@ -138,8 +138,8 @@
   }
 
   void OnDemand(std::uint64_t link, std::string_view bytes) {
-    if (IsEndMessage(bytes)) return OnEnd(bytes);
-    if (IsQuotaAsk(bytes)) return OnQuotaAsk(link, bytes);
+    if (IsCrashMessage(bytes)) return OnEnd(bytes);
+    if (IsQuotaRequest(bytes)) return OnQuotaAsk(link, bytes);
     AgentDemand demand;
     if (!DecodeDemand(bytes, &demand)) {
       log_.Write(MonotonicMs(), "demand_malformed", {});
@@ -149,14 +149,14 @@
   }
 
   void OnQuotaAsk(std::uint64_t link, std::string_view bytes) {
-    QuotaAsk ask;
-    if (!DecodeQuotaAsk(bytes, &ask)) return log_.Write(MonotonicMs(), "quota_malformed", {});
+    QuotaRequest ask;
+    if (!DecodeQuotaRequest(bytes, &ask)) return log_.Write(MonotonicMs(), "quota_malformed", {});
     keeper_->OnQuotaAsk(link, ask);
   }
 
   void OnEnd(std::string_view bytes) {
-    UpstreamEnd end;
-    if (!DecodeEnd(bytes, &end)) return log_.Write(MonotonicMs(), "end_malformed", {});
+    UpstreamCrash end;
+    if (!DecodeCrash(bytes, &end)) return log_.Write(MonotonicMs(), "end_malformed", {});
     keeper_->OnEnd(end);
   }
 
--- a/src/daemon/direct_entry.cc
+++ b/src/daemon/direct_entry.cc
@@ -134,13 +134,13 @@
       quarantine_->Reread();
     });
     store_.OnNewEra([this] { RecordRefusalsAgain(); });
-    gateway_.OnUpstreamEnd([this](const UpstreamEnd& end) { TellOfEnd(end); });
+    gateway_.OnUpstreamEnd([this](const UpstreamCrash& end) { TellOfEnd(end); });
     gateway_.OnRequestRefused([this](const RequestDigest& it) { recorder_->Record(it); });
     upstreams_.OnRegained([this] {
       configuration_.Reread();
       quarantine_->Reread();
     });
-    gateway_.OnQuotaMessages([this](const QuotaTaker::Message& it) { TellGiver(it); });
+    gateway_.OnQuotaMessages([this](const QuotaClient::Message& it) { TellGiver(it); });
     configuration_.OnConfirmed([this](TimeMs as_of) { gateway_.ConfirmConfiguration(as_of); });
     BoundWord();
     upstreams_.SetWritePeriod(settings_.direct->record_period_ms);
@@ -223,13 +223,13 @@
       views_.erase(view);
     };
     callbacks.list_soon = [this] { upstreams_.ReadSoon(); };
-    callbacks.record_end = [this](const UpstreamEnd& end) { recorder_->Record(end); };
+    callbacks.record_end = [this](const UpstreamCrash& end) { recorder_->Record(end); };
     return callbacks;
   }
 
   QuarantineFollower::Callbacks QuarantineCallbacks() {
     QuarantineFollower::Callbacks callbacks;
-    callbacks.ended = [this](const UpstreamEnd& end) { gateway_.AddUpstreamEnd(end); };
+    callbacks.ended = [this](const UpstreamCrash& end) { gateway_.AddUpstreamEnd(end); };
     callbacks.refused = [this](const RequestDigest& it) { gateway_.RefuseRequest(it); };
     callbacks.released = [this](const RequestDigest& it) { gateway_.ReleaseRequest(it); };
     return callbacks;
@@ -237,12 +237,12 @@
 
   // Over the links that stand already: an agent passes it on to all entries and writes it to the
   // store. Where the upstream's own agent cannot, this entry writes it.
-  void TellOfEnd(UpstreamEnd end) {
-    end.is_to_record = true;
-    const std::string ended = QuarantineTable::InstanceOfEnd(end.instance);
+  void TellOfEnd(UpstreamCrash end) {
+    end.should_record = true;
+    const std::string ended = QuarantineTable::InstanceOfCrash(end.instance);
     const bool is_recorded = TellRelay(ended, end);
     if (!is_recorded) recorder_->Record(end);
-    end.is_to_record = false;
+    end.should_record = false;
     std::vector<std::pair<std::uint64_t, std::string>> others;
     for (const auto& [instance, sent] : sent_) {
       if (instance != ended) {
@@ -260,13 +260,13 @@
   // The store may have lost them, and an entry that starts later is to know them.
   void RecordRefusalsAgain() {
     for (const auto& it : gateway_.quarantine().Refusals()) {
-      if (it.ends > 0) recorder_->Record(it.digest);
+      if (it.crashes > 0) recorder_->Record(it.digest);
     }
   }
 
   // False when there is no link to whoever gives that engine its orders, or it passes
   // nothing on.
-  bool TellRelay(const std::string& instance, const UpstreamEnd& end) {
+  bool TellRelay(const std::string& instance, const UpstreamCrash& end) {
     const auto sent = sent_.find(instance);
     const UpstreamRecord* upstream = gateway_.upstreams().Find(instance);
     if (sent == sent_.end() || upstream == nullptr) return false;
@@ -278,13 +278,13 @@
     const bool is_relay = view != views_.end() && view->second.relays_ends &&
                           gateway_.upstreams().HasFreshView(instance, MonotonicMs());
     if (!is_relay) return false;
-    links_.Send(instance, sent->second.to, EncodeEnd(end));
+    links_.Send(instance, sent->second.to, EncodeCrash(end));
     return true;
   }
 
   // `source` is the link's instance, or the address of an engine kept here.
   void OnView(const std::string& source, std::string_view bytes) {
-    if (IsEndMessage(bytes)) return OnToldOfEnd(source, bytes);
+    if (IsCrashMessage(bytes)) return OnToldOfEnd(source, bytes);
     if (IsQuotaGrant(bytes)) return OnQuotaGrant(source, bytes);
     EngineView& view = views_[source];
     if (!DecodeView(bytes, &view)) {
@@ -298,8 +298,8 @@
   }
 
   void OnToldOfEnd(const std::string& source, std::string_view bytes) {
-    UpstreamEnd end;
-    if (!DecodeEnd(bytes, &end)) {
+    UpstreamCrash end;
+    if (!DecodeCrash(bytes, &end)) {
       log_.Write(MonotonicMs(), "end_malformed", {{"upstream", source}});
       return;
     }
@@ -316,15 +316,15 @@
   }
 
   // Over the link by which the agent is told of demand.
-  void TellGiver(const QuotaTaker::Message& message) {
+  void TellGiver(const QuotaClient::Message& message) {
     const auto sent = sent_.find(message.instance);
     const UpstreamRecord* upstream = gateway_.upstreams().Find(message.instance);
     const bool has_link = sent != sent_.end() && upstream != nullptr && sent->second.to.port != 0;
     if (!has_link) return;
     if (hosting_->IsHosting(upstream->endpoint)) {
-      return hosting_->OnQuotaAsk(upstream->endpoint, message.ask);
+      return hosting_->OnQuotaAsk(upstream->endpoint, message.request);
     }
-    links_.Send(message.instance, sent->second.to, EncodeQuotaAsk(message.ask));
+    links_.Send(message.instance, sent->second.to, EncodeQuotaRequest(message.request));
   }
 
   // All agents that entries are in touch with, or are yet to hear of: all entries that read
@@ -335,7 +335,7 @@
                                          gateway_.upstreams().CountLimited() > 0);
     if (!has_limits) return;
     const auto unseen = gateway_.upstreams().EnginesWithoutView(kGiverUnseenMs, now);
-    std::vector<QuotaTaker::Giver> givers;
+    std::vector<QuotaClient::Allocator> givers;
     for (const auto& [instance, sent] : sent_) {
       const UpstreamRecord* upstream = gateway_.upstreams().Find(instance);
       if (upstream == nullptr || upstream->is_leaving || reopen_at_.count(instance) > 0) continue;
--- a/src/daemon/direct_metrics.cc
+++ b/src/daemon/direct_metrics.cc
@@ -37,17 +37,18 @@
 constexpr std::size_t kMostOrganisations = 64;
 
 // Of those that have a limit; the most used ones.
-void AddQuotas(const QuotaTaker& quotas, MetricsPage* page) {
+void AddQuotas(const QuotaClient& quotas, MetricsPage* page) {
   auto usages = quotas.Usages(MonotonicMs());
   usages.erase(std::remove_if(usages.begin(), usages.end(),
                               [](const auto& it) { return !it.upstream.empty(); }),
                usages.end());
-  std::sort(usages.begin(), usages.end(),
-            [](const auto& a, const auto& b) { return a.taken + a.refused > b.taken + b.refused; });
+  std::sort(usages.begin(), usages.end(), [](const auto& a, const auto& b) {
+    return a.admitted + a.refused > b.admitted + b.refused;
+  });
   if (usages.size() > kMostOrganisations) usages.resize(kMostOrganisations);
   for (const auto& it : usages) {
     page->Counter("junctionrail_quota_taken_total", "Requests within their organisation's quota.",
-                  it.taken, {{"organisation", it.limit.organisation}});
+                  it.admitted, {{"organisation", it.limit.organisation}});
     page->Counter("junctionrail_quota_refused_total", "Requests refused for it.", it.refused,
                   {{"organisation", it.limit.organisation}});
   }
@@ -85,9 +86,9 @@
   page.Counter("junctionrail_quarantined_total", "Refused, as upstreams end when they run them.",
                it.quarantined);
   page.Counter("junctionrail_suspects_cleared_total", "Suspected, and then run without harm.",
-               quarantine.cleared());
+               quarantine.cleared_count());
   page.Gauge("junctionrail_suspects", "Requests that are sent on alone.",
-             static_cast<double>(quarantine.suspects()));
+             static_cast<double>(quarantine.suspect_count()));
   page.Gauge("junctionrail_refused_digests", "Requests that are sent to no upstream.",
              static_cast<double>(quarantine.Refusals().size()));
   page.Counter("junctionrail_unknown_keys_total", "Refused for a missing or unknown key.",
--- a/src/daemon/engine_keeper.cc
+++ b/src/daemon/engine_keeper.cc
@@ -109,7 +109,7 @@
 
 void EngineKeeper::OnLinkClosed(std::uint64_t link) {
   const auto it = links_.find(link);
-  if (it != links_.end()) quotas_.OnClosed(it->second.entry, MonotonicMs());
+  if (it != links_.end()) quotas_.OnLinkClosed(it->second.entry, MonotonicMs());
   links_.erase(link);
   core_.OnEntryGone(link);
 }
@@ -119,20 +119,21 @@
   const bool has_work = !demand.wanted.empty() || !demand.stage.empty();
   OpenLink& open = links_[link];
   open.entry = demand.entry;
-  quotas_.OnHeard(demand.entry, demand.repeat_ms, MonotonicMs());
+  quotas_.OnHeartbeat(demand.entry, demand.repeat_ms, MonotonicMs());
   const bool is_to_catch_up = demand.takes_ends && !open.takes_ends;
   open.takes_ends = demand.takes_ends;
   if (is_to_catch_up) {
-    for (const auto& it : quarantine_.Recent(MonotonicMs())) callbacks_.send(link, EncodeEnd(it));
+    for (const auto& it : quarantine_.RecentCrashes(MonotonicMs()))
+      callbacks_.send(link, EncodeCrash(it));
   }
   core_.OnDemand(link, std::move(demand), MonotonicMs());
   if (has_work) AskReportSoon();
 }
 
-void EngineKeeper::OnQuotaAsk(std::uint64_t link, const QuotaAsk& ask) {
+void EngineKeeper::OnQuotaAsk(std::uint64_t link, const QuotaRequest& ask) {
   if (is_stopped_) return;
-  const QuotaGrant grant = quotas_.OnAsk(ask, MonotonicMs());
-  if (!grant.shares.empty()) callbacks_.send(link, EncodeQuotaGrant(grant));
+  const QuotaGrant grant = quotas_.OnRequest(ask, MonotonicMs());
+  if (!grant.allocations.empty()) callbacks_.send(link, EncodeQuotaGrant(grant));
   LogQuotaParts();
 }
 
@@ -140,21 +141,21 @@
   for (const auto& it : quotas_.TakeChanges()) {
     log_.Write(MonotonicMs(), "quota_part",
                {{"organisation", it.organisation},
-                {"holders", it.holders},
-                {"entries", it.entries},
-                {"percent", static_cast<std::int64_t>(kPercent * it.part)}});
+                {"holders", it.registered_count},
+                {"entries", it.entry_count},
+                {"percent", static_cast<std::int64_t>(kPercent * it.fraction)}});
   }
 }
 
-void EngineKeeper::OnEnd(const UpstreamEnd& end) {
+void EngineKeeper::OnEnd(const UpstreamCrash& end) {
   const TimeMs now = MonotonicMs();
   quarantine_.Expire(now);
   const bool is_news = quarantine_.Add(end, now);
-  quarantine_.TakeRefused();  // The entries judge.
+  quarantine_.TakeNewRefusals();  // The entries judge.
   if (!is_news || is_stopped_) return;
   const bool is_armed = !unsent_ends_.empty();
   unsent_ends_.insert(end.instance);
-  if (end.is_to_record) unrecorded_ends_.insert(end.instance);
+  if (end.should_record) unrecorded_ends_.insert(end.instance);
   if (is_armed) return;
   ends_timer_.After(kGatherEndsMs, [self = shared_from_this()] { self->SendEnds(); });
 }
@@ -164,7 +165,7 @@
   for (const auto& instance : std::exchange(unsent_ends_, {})) {
     const auto end = quarantine_.Find(instance, MonotonicMs());
     if (!end) continue;
-    const std::string bytes = EncodeEnd(*end);
+    const std::string bytes = EncodeCrash(*end);
     for (const auto& [link, it] : links_) {
       if (it.takes_ends) callbacks_.send(link, bytes);
     }
--- a/src/daemon/engine_keeper.h
+++ b/src/daemon/engine_keeper.h
@@ -44,7 +44,7 @@
   // What is listed may be outdated.
   std::function<void()> list_soon;
   // An end that entries saw is to be written to the store.
-  std::function<void(const UpstreamEnd&)> record;
+  std::function<void(const UpstreamCrash&)> record;
 };
 
 class EngineKeeper : public std::enable_shared_from_this<EngineKeeper> {
@@ -63,9 +63,9 @@
   void OnLinkOpened(std::uint64_t link);
   void OnDemand(std::uint64_t link, AgentDemand demand);
   // It asks for what organisations may send.
-  void OnQuotaAsk(std::uint64_t link, const QuotaAsk& ask);
+  void OnQuotaAsk(std::uint64_t link, const QuotaRequest& ask);
   // The entry saw an upstream end, this engine or another.
-  void OnEnd(const UpstreamEnd& end);
+  void OnEnd(const UpstreamCrash& end);
   void OnLinkClosed(std::uint64_t link);
 
   const AgentOrderCounters& counters() const { return counters_; }
@@ -118,7 +118,7 @@
   std::int64_t born_ms_ = 0;  // Its start; 0: it does not tell.
   std::string replaced_;      // The last instance in whose place another one answered.
   std::map<std::uint64_t, OpenLink> links_;
-  QuotaGiver quotas_;
+  QuotaAllocator quotas_;
   // Ends that entries told of, for all entries and for those that come later.
   QuarantineTable quarantine_;
   std::set<std::string> unsent_ends_;      // By instance.
--- a/src/daemon/entry_hosting.cc
+++ b/src/daemon/entry_hosting.cc
@@ -97,15 +97,15 @@
 }
 
 void EntryHosting::OnLinkEnd(std::uint64_t link, std::string_view bytes) {
-  UpstreamEnd end;
-  if (!DecodeEnd(bytes, &end)) return log_.Write(MonotonicMs(), "end_malformed", {});
+  UpstreamCrash end;
+  if (!DecodeCrash(bytes, &end)) return log_.Write(MonotonicMs(), "end_malformed", {});
   EngineKeeper* keeper = KeeperOf(link);
   if (keeper != nullptr) keeper->OnEnd(end);
 }
 
 void EntryHosting::OnLinkQuotaAsk(std::uint64_t link, std::string_view bytes) {
-  QuotaAsk ask;
-  if (!DecodeQuotaAsk(bytes, &ask)) return log_.Write(MonotonicMs(), "quota_malformed", {});
+  QuotaRequest ask;
+  if (!DecodeQuotaRequest(bytes, &ask)) return log_.Write(MonotonicMs(), "quota_malformed", {});
   EngineKeeper* keeper = KeeperOf(link);
   if (keeper != nullptr) keeper->OnQuotaAsk(link, ask);
 }
@@ -118,8 +118,8 @@
 }
 
 void EntryHosting::OnLinkDemand(std::uint64_t link, std::string_view bytes) {
-  if (IsEndMessage(bytes)) return OnLinkEnd(link, bytes);
-  if (IsQuotaAsk(bytes)) return OnLinkQuotaAsk(link, bytes);
+  if (IsCrashMessage(bytes)) return OnLinkEnd(link, bytes);
+  if (IsQuotaRequest(bytes)) return OnLinkQuotaAsk(link, bytes);
   AgentDemand demand;
   if (!DecodeDemand(bytes, &demand)) {
     log_.Write(MonotonicMs(), "demand_malformed", {});
@@ -341,12 +341,12 @@
   if (it != hosted_.end()) it->second.keeper->OnDemand(kOwnLink, demand);
 }
 
-void EntryHosting::OnEnd(const Endpoint& engine, const UpstreamEnd& end) {
+void EntryHosting::OnEnd(const Endpoint& engine, const UpstreamCrash& end) {
   const auto it = hosted_.find(engine.ToString());
   if (it != hosted_.end()) it->second.keeper->OnEnd(end);
 }
 
-void EntryHosting::OnQuotaAsk(const Endpoint& engine, const QuotaAsk& ask) {
+void EntryHosting::OnQuotaAsk(const Endpoint& engine, const QuotaRequest& ask) {
   const auto it = hosted_.find(engine.ToString());
   if (it != hosted_.end()) it->second.keeper->OnQuotaAsk(kOwnLink, ask);
 }
--- a/src/daemon/entry_hosting.h
+++ b/src/daemon/entry_hosting.h
@@ -37,7 +37,7 @@
     // No view of the engine comes from here any more.
     std::function<void(const Endpoint& engine)> released;
     std::function<void()> list_soon;
-    std::function<void(const UpstreamEnd&)> record_end;
+    std::function<void(const UpstreamCrash&)> record_end;
   };
 
   EntryHosting(boost::asio::io_context& io, HttpClient& http, platform::StoreClient& store,
@@ -53,8 +53,8 @@
   bool IsHosting(const Endpoint& engine) const;
   // Demand of this entry for an engine that it hosts.
   void OnDemand(const Endpoint& engine, const AgentDemand& demand);
-  void OnEnd(const Endpoint& engine, const UpstreamEnd& end);
-  void OnQuotaAsk(const Endpoint& engine, const QuotaAsk& ask);
+  void OnEnd(const Endpoint& engine, const UpstreamCrash& end);
+  void OnQuotaAsk(const Endpoint& engine, const QuotaRequest& ask);
   // Where demand for the engine goes in place of its agent.
   std::optional<Endpoint> LinkOf(const Endpoint& engine) const;
 
--- a/src/daemon/quarantine_keeper.cc
+++ b/src/daemon/quarantine_keeper.cc
@@ -32,13 +32,13 @@
                                        EventLog& log, std::string writer)
     : io_(io), store_(store), log_(log), writer_(std::move(writer)) {}
 
-void QuarantineRecorder::Record(const UpstreamEnd& end) {
-  Write(std::string(kEnds) + end.instance + "/" + writer_, EndToText(end),
-        QuarantineLimits().suspect_ms, kMostTries);
+void QuarantineRecorder::Record(const UpstreamCrash& end) {
+  Write(std::string(kEnds) + end.instance + "/" + writer_, CrashToText(end),
+        QuarantineLimits().suspicion_ttl_ms, kMostTries);
 }
 
 void QuarantineRecorder::Record(const RequestDigest& refused) {
-  Write(KeyOf(refused), writer_, QuarantineLimits().refuse_ms, kMostTries);
+  Write(KeyOf(refused), writer_, QuarantineLimits().refusal_ttl_ms, kMostTries);
 }
 
 void QuarantineRecorder::Write(const std::string& key, const std::string& value, DurationMs ttl_ms,
@@ -133,8 +133,8 @@
   } else if (item.is_deleted) {
     return;  // An end has faded.
   } else if (IsBelow(item.key, kEnds)) {
-    UpstreamEnd end;
-    if (EndFromText(item.value, &end)) return callbacks_.ended(end);
+    UpstreamCrash end;
+    if (CrashFromText(item.value, &end)) return callbacks_.ended(end);
   }
   log_.Write(MonotonicMs(), "quarantine_malformed", {{"key", item.key}});
 }
--- a/src/daemon/quarantine_keeper.h
+++ b/src/daemon/quarantine_keeper.h
@@ -23,7 +23,7 @@
   QuarantineRecorder(boost::asio::io_context& io, platform::StoreClient& store, EventLog& log,
                      std::string writer);
 
-  void Record(const UpstreamEnd& end);
+  void Record(const UpstreamCrash& end);
   void Record(const RequestDigest& refused);
   // The operators let it be tried again: removes what all processes wrote of it.
   void Release(const RequestDigest& refused, std::function<void(bool is_done)> done);
@@ -45,7 +45,7 @@
 class QuarantineFollower : public std::enable_shared_from_this<QuarantineFollower> {
  public:
   struct Callbacks {
-    std::function<void(const UpstreamEnd&)> ended;
+    std::function<void(const UpstreamCrash&)> ended;
     std::function<void(const RequestDigest&)> refused;
     std::function<void(const RequestDigest&)> released;
   };
--- a/src/daemon/quarantine_page.cc
+++ b/src/daemon/quarantine_page.cc
@@ -13,10 +13,11 @@
   nlohmann::json refused = nlohmann::json::array();
   for (const auto& it : quarantine.Refusals()) {
     refused.push_back(
-        {{"digest", it.digest.ToString()}, {"age_ms", now - it.since}, {"ends", it.ends}});
+        {{"digest", it.digest.ToString()}, {"age_ms", now - it.since}, {"ends", it.crashes}});
   }
-  return nlohmann::json{
-      {"refused", refused}, {"suspects", quarantine.suspects()}, {"cleared", quarantine.cleared()}}
+  return nlohmann::json{{"refused", refused},
+                        {"suspects", quarantine.suspect_count()},
+                        {"cleared", quarantine.cleared_count()}}
       .dump();
 }
 
--- a/src/daemon/quota_page.cc
+++ b/src/daemon/quota_page.cc
@@ -4,28 +4,28 @@
 
 namespace junctionrail::internal {
 
-std::string QuotaPage(const QuotaTaker& quotas, TimeMs now) {
+std::string QuotaPage(const QuotaClient& quotas, TimeMs now) {
   nlohmann::json list = nlohmann::json::array();
   nlohmann::json upstreams = nlohmann::json::array();
   for (const auto& it : quotas.Usages(now)) {
     if (!it.upstream.empty()) {
       upstreams.push_back({{"upstream", it.upstream},
-                           {"per_s", it.limit.per_s},
-                           {"taken", it.taken},
+                           {"per_s", it.limit.rate_per_s},
+                           {"taken", it.admitted},
                            {"refused", it.refused},
-                           {"giver", it.giver},
-                           {"is_silent", it.is_silent}});
+                           {"giver", it.allocator},
+                           {"is_silent", it.is_allocator_silent}});
       continue;
     }
     list.push_back({{"organisation", it.limit.organisation},
-                    {"per_s", it.limit.per_s},
+                    {"per_s", it.limit.rate_per_s},
                     {"burst", it.limit.burst},
-                    {"taken", it.taken},
-                    {"amount", it.amount},
+                    {"taken", it.admitted},
+                    {"amount", it.admitted_amount},
                     {"refused", it.refused},
                     {"credit", it.credit},
-                    {"giver", it.giver},
-                    {"is_silent", it.is_silent}});
+                    {"giver", it.allocator},
+                    {"is_silent", it.is_allocator_silent}});
   }
   return nlohmann::json{{"quotas", list}, {"upstreams", upstreams}}.dump();
 }
--- a/src/daemon/quota_page.h
+++ b/src/daemon/quota_page.h
@@ -9,7 +9,7 @@
 namespace junctionrail::internal {
 
 // A JSON object with a list `quotas`.
-std::string QuotaPage(const QuotaTaker& quotas, TimeMs now);
+std::string QuotaPage(const QuotaClient& quotas, TimeMs now);
 
 }  // namespace junctionrail::internal
 
--- a/src/gateway/crash_watch.cc
+++ b/src/gateway/crash_watch.cc
@@ -34,14 +34,14 @@
   if (it->second.empty()) under_way_.erase(it);
 }
 
-UpstreamEnd CrashWatch::Collect(const std::string& instance, const std::string& name,
-                                TimeMs now) const {
-  UpstreamEnd end;
+UpstreamCrash CrashWatch::Collect(const std::string& instance, const std::string& name,
+                                  TimeMs now) const {
+  UpstreamCrash end;
   end.instance = name;
   const auto it = under_way_.find(instance);
   if (it == under_way_.end()) return end;
   for (Exchange* exchange : it->second) {
-    if (quarantine_.NameOfEnd(instance, exchange->attempt_at()) != name) continue;
+    if (quarantine_.CrashName(instance, exchange->attempt_at()) != name) continue;
     const auto suspect = exchange->AsSuspect(now);
     if (suspect) end.suspects.push_back(*suspect);
   }
@@ -52,11 +52,11 @@
 // instance; that start may end too.
 void CrashWatch::OnBroken(const std::string& instance, const Endpoint& endpoint, TimeMs begun_at,
                           TimeMs now) {
-  const std::string name = quarantine_.NameOfEnd(instance, begun_at);
+  const std::string name = quarantine_.CrashName(instance, begun_at);
   if (cases_.count(instance) > 0 || quarantine_.IsKnown(name)) return;
   const auto open = open_.find(instance);
   if (open != open_.end() && now < open->second.until) return;
-  UpstreamEnd end = Collect(instance, name, now);
+  UpstreamCrash end = Collect(instance, name, now);
   if (end.suspects.empty()) return;
   quarantine_.AddPending(end, now);
   cases_.emplace(instance, Case{name, now, std::move(end)});
@@ -101,20 +101,20 @@
 void CrashWatch::OnEnded(const std::string& instance, std::string_view evidence, TimeMs now) {
   const auto it = cases_.find(instance);
   if (it == cases_.end()) return;
-  UpstreamEnd end = std::move(it->second.end);
+  UpstreamCrash end = std::move(it->second.end);
   end.age_ms = now - it->second.since;
   cases_.erase(it);
   ended_(end, evidence);
 }
 
-void CrashWatch::OnToldOf(const UpstreamEnd& told, TimeMs now) {
-  const std::string instance = QuarantineTable::InstanceOfEnd(told.instance);
+void CrashWatch::OnToldOf(const UpstreamCrash& told, TimeMs now) {
+  const std::string instance = QuarantineTable::InstanceOfCrash(told.instance);
   const auto it = cases_.find(instance);
   if (it != cases_.end() && it->second.name == told.instance) {
     return OnEnded(instance, "told", now);
   }
   // Its connections here have not broken yet, or never will, behind a cut.
-  UpstreamEnd end = Collect(instance, told.instance, now);
+  UpstreamCrash end = Collect(instance, told.instance, now);
   const bool is_known = quarantine_.IsKnown(told.instance);
   if (end.suspects.empty() || is_known) return;
   end.age_ms = told.age_ms;
--- a/src/gateway/crash_watch.h
+++ b/src/gateway/crash_watch.h
@@ -23,7 +23,7 @@
  public:
   // `ended`: an upstream has ended, by which evidence, and so long ago; the suspects are those of
   // this entry.
-  using Ended = std::function<void(const UpstreamEnd& end, std::string_view evidence)>;
+  using Ended = std::function<void(const UpstreamCrash& end, std::string_view evidence)>;
 
   CrashWatch(boost::asio::io_context& io, QuarantineTable& quarantine, Ended ended)
       : io_(io), quarantine_(quarantine), ended_(std::move(ended)) {}
@@ -41,14 +41,14 @@
   void OnEnded(const std::string& instance, std::string_view evidence, TimeMs now);
   void OnLeaving(const std::string& instance);
   // Another process saw it end: what this entry had under way there counts.
-  void OnToldOf(const UpstreamEnd& end, TimeMs now);
+  void OnToldOf(const UpstreamCrash& end, TimeMs now);
   void Expire(TimeMs now);
 
  private:
   struct Case {
-    std::string name;  // Of the end; see QuarantineTable::NameOfEnd.
+    std::string name;  // Of the end; see QuarantineTable::CrashName.
     TimeMs since = 0;
-    UpstreamEnd end;
+    UpstreamCrash end;
   };
   // Ports found open, so that an upstream which breaks off some of its answers is not
   // looked at for each.
@@ -58,7 +58,7 @@
   };
 
   // What of this entry an end of that name may have been under.
-  UpstreamEnd Collect(const std::string& instance, const std::string& name, TimeMs now) const;
+  UpstreamCrash Collect(const std::string& instance, const std::string& name, TimeMs now) const;
   // The upstream has not ended.
   std::map<std::string, Case>::iterator Drop(std::map<std::string, Case>::iterator it);
   void Look(const std::string& instance, const Endpoint& endpoint);
--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -67,7 +67,7 @@
     return Refuse(kNotFound, "no_route", "no route matches this host and path", Ran::kNo, 0);
   }
   if (!ReadFields() || !ReadKey() || !ReadAmount()) return;
-  const auto over = gateway_.quotas.RefuseIfOver(organisation_, amount_, request_.arrived_at);
+  const auto over = gateway_.quotas.RefuseIfOverQuota(organisation_, amount_, request_.arrived_at);
   if (over) return RefuseOverQuota(*over);
   gateway_.retries.OnRequest(service_, request_.arrived_at);
   gateway_.upstreams.OnArrival(model_, priority_, route_->first_answer_ms, request_.arrived_at);
@@ -119,7 +119,7 @@
   const TimeMs now = MonotonicMs();
   if (now >= end_at_) return GiveUp(SoFar(), "deadline");
   if (quota_ticket_ != 0 || share_ticket_ != 0 || !MayUseKey()) return;
-  if (StandingNow() == Standing::kRefused) return RefuseAsDeadly();
+  if (StandingNow() == QuarantineStatus::kRefused) return RefuseAsDeadly();
   const Pick choice = Choose(now);
   if (const auto* to = std::get_if<SendTo>(&choice)) {
     if (MayUseQuota() && MayUseShare(to->instance)) Send(to->instance);
@@ -144,12 +144,12 @@
   return *digest_;
 }
 
-Standing Exchange::StandingNow() {
-  if (gateway_.quarantine.IsEmpty()) return Standing::kClear;
-  return gateway_.quarantine.StandingOf(Digest(), MonotonicMs());
+QuarantineStatus Exchange::StandingNow() {
+  if (gateway_.quarantine.IsEmpty()) return QuarantineStatus::kClear;
+  return gateway_.quarantine.StatusOf(Digest(), MonotonicMs());
 }
 
-bool Exchange::IsSuspect() { return StandingNow() != Standing::kClear; }
+bool Exchange::IsSuspect() { return StandingNow() != QuarantineStatus::kClear; }
 
 std::optional<Suspect> Exchange::AsSuspect(TimeMs now) {
   const bool has_event = attempt_event_at_ != 0;
@@ -174,7 +174,7 @@
   gateway_.quarantine.Clear(*digest_, MonotonicMs());
   if (!was_alone_) return;
   was_alone_ = false;
-  gateway_.probation.Leave(instance_, *digest_);
+  gateway_.probation.Release(instance_, *digest_);
   gateway_.WakeSuspects();
 }
 
@@ -191,7 +191,8 @@
     const auto other_try = is_suspect && model_ ? gateway_.probation.Find(Digest()) : std::nullopt;
     if (other_try) return WaitFor{*other_try, kOtherTryMs, "alone", 0};
     auto& besides = is_suspect ? request.taken : request.risky;
-    besides = is_suspect ? gateway_.probation.TakenBesides(Digest()) : gateway_.probation.Taken();
+    besides =
+        is_suspect ? gateway_.probation.OccupiedByOthers(Digest()) : gateway_.probation.Occupied();
   }
   Pick pick = gateway_.upstreams.Choose(request, now);
   const auto* none = std::get_if<NoneLeft>(&pick);
@@ -272,7 +273,7 @@
   gateway_.upstreams.OnSent(instance, model_, attempt_at_);
   gateway_.crashes.Begin(instance, this);
   attempt_event_at_ = 0;
-  was_alone_ = IsSuspect() && gateway_.probation.Enter(instance, Digest());
+  was_alone_ = IsSuspect() && gateway_.probation.Reserve(instance, Digest());
   UpstreamMessage message;
   message.head = HeadFor(*upstream);
   message.body = request_.body;
@@ -349,7 +350,7 @@
   gateway_.upstreams.OnEnd(instance_, model_, end, now);
   gateway_.crashes.Over(instance_, this);
   if (std::exchange(was_alone_, false)) {
-    gateway_.probation.Leave(instance_, Digest());
+    gateway_.probation.Release(instance_, Digest());
     gateway_.WakeSuspects();
   }
   call_ = nullptr;
--- a/src/gateway/exchange.h
+++ b/src/gateway/exchange.h
@@ -75,7 +75,7 @@
   void OnQuotaAsked(std::uint64_t ticket) { quota_ticket_ = ticket; }
   // The same for its share of what an upstream takes.
   void OnShareAsked(std::uint64_t ticket, const std::string& instance);
-  void OnQuota(std::uint64_t ticket, const QuotaTaker::Verdict& verdict);
+  void OnQuota(std::uint64_t ticket, const QuotaClient::Admission& verdict);
 
   bool MaySend() override;
   void OnHead(UpstreamHead head) override;
@@ -95,14 +95,14 @@
   bool MayUseKey();
   bool MayUseQuota();
   bool MayUseShare(const std::string& instance);
-  void OnShare(const QuotaTaker::Verdict& verdict);
+  void OnShare(const QuotaClient::Admission& verdict);
   void NoteLimitReached(const std::string& instance, DurationMs retry_ms);
-  void RefuseOverQuota(const QuotaTaker::Verdict& verdict);
+  void RefuseOverQuota(const QuotaClient::Admission& verdict);
   void GiveQuotaBack();
   void Attempt();
   Pick Choose(TimeMs now);
   const RequestDigest& Digest();
-  Standing StandingNow();
+  QuarantineStatus StandingNow();
   void RefuseAsDeadly();
   void NoteHarmless();
   void Send(const std::string& instance);
--- a/src/gateway/exchange_access.cc
+++ b/src/gateway/exchange_access.cc
@@ -69,7 +69,7 @@
   if (holder == nullptr || !holder->quota.IsLimited()) return true;
   amount_ = 1;
   if (holder->quota.unit == QuotaUnit::kRequests) return true;
-  amount_ = holder->quota.plain_tokens;
+  amount_ = holder->quota.default_tokens;
   const std::string& name = gateway_.options.names.token_usage;
   const std::string* usage = FindField(request_.fields, name);
   if (usage == nullptr) return true;
@@ -123,11 +123,11 @@
 bool Exchange::MayUseQuota() {
   if (has_quota_ || amount_ <= 0 || organisation_.empty()) return true;
   const auto verdict = gateway_.TakeQuota(shared_from_this(), organisation_, amount_);
-  if (verdict.decision == QuotaTaker::Decision::kTaken) {
+  if (verdict.decision == QuotaClient::Decision::kAdmitted) {
     has_quota_ = true;
     return true;
   }
-  if (verdict.decision == QuotaTaker::Decision::kAsked) {
+  if (verdict.decision == QuotaClient::Decision::kPending) {
     Arm();
   } else {
     RefuseOverQuota(verdict);
@@ -135,11 +135,11 @@
   return false;
 }
 
-void Exchange::OnQuota(std::uint64_t ticket, const QuotaTaker::Verdict& verdict) {
+void Exchange::OnQuota(std::uint64_t ticket, const QuotaClient::Admission& verdict) {
   if (ticket == share_ticket_) return OnShare(verdict);
   quota_ticket_ = 0;
   if (is_finished_) return;
-  has_quota_ = verdict.decision == QuotaTaker::Decision::kTaken;
+  has_quota_ = verdict.decision == QuotaClient::Decision::kAdmitted;
   if (has_quota_) return Attempt();
   RefuseOverQuota(verdict);
 }
@@ -151,8 +151,8 @@
   share_of_.clear();
   if (has_share || !gateway_.upstreams.LimitOf(instance)) return true;
   const auto verdict = gateway_.TakeOfUpstream(shared_from_this(), instance);
-  if (verdict.decision == QuotaTaker::Decision::kTaken) return true;
-  if (verdict.decision == QuotaTaker::Decision::kAsked) {
+  if (verdict.decision == QuotaClient::Decision::kAdmitted) return true;
+  if (verdict.decision == QuotaClient::Decision::kPending) {
     Arm();
     return false;
   }
@@ -166,10 +166,10 @@
   share_of_ = instance;
 }
 
-void Exchange::OnShare(const QuotaTaker::Verdict& verdict) {
+void Exchange::OnShare(const QuotaClient::Admission& verdict) {
   share_ticket_ = 0;
   if (is_finished_) return;
-  if (verdict.decision != QuotaTaker::Decision::kTaken) {
+  if (verdict.decision != QuotaClient::Decision::kAdmitted) {
     NoteLimitReached(std::exchange(share_of_, {}), verdict.retry_ms);
   }
   Attempt();
@@ -182,8 +182,8 @@
   terms->OnLimitReached(MonotonicMs() + std::max(retry_ms, kLeastLimitRetryMs));
 }
 
-void Exchange::RefuseOverQuota(const QuotaTaker::Verdict& verdict) {
-  if (verdict.decision == QuotaTaker::Decision::kNoGiver) {
+void Exchange::RefuseOverQuota(const QuotaClient::Admission& verdict) {
+  if (verdict.decision == QuotaClient::Decision::kNoAllocator) {
     ++gateway_.counters.without_giver;
     return Refuse(kUnavailable, "quota_unknown", "nobody can say what the organisation has left",
                   Ran::kNo, verdict.retry_ms);
@@ -198,7 +198,7 @@
   if (quota_ticket_ != 0) gateway_.CancelQuota(std::exchange(quota_ticket_, 0));
   if (share_ticket_ != 0) gateway_.CancelQuota(std::exchange(share_ticket_, 0));
   if (!std::exchange(has_quota_, false) || SoFar() == Ran::kMaybe) return;
-  gateway_.quotas.GiveBack(organisation_, amount_, MonotonicMs());
+  gateway_.quotas.Refund(organisation_, amount_, MonotonicMs());
 }
 
 }  // namespace junctionrail::internal
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -76,7 +76,7 @@
       retries(options.retries),
       pool(io, options.names.request_id),
       crashes(io, quarantine,
-              [this](const UpstreamEnd& end, std::string_view evidence) {
+              [this](const UpstreamCrash& end, std::string_view evidence) {
                 OnUpstreamEnded(end, evidence);
               }),
       quotas(options.entry),
@@ -129,8 +129,8 @@
     self->crashes.Expire(now);
     self->quarantine.Expire(now);
     self->NoteRefused();
-    self->quotas.SetEntries(self->upstreams.Entries(now), now);
-    self->quotas.KeepUpstreams(
+    self->quotas.SetEntryCount(self->upstreams.Entries(now), now);
+    self->quotas.RetainLimitedUpstreams(
         [&](const std::string& instance) { return self->upstreams.LimitOf(instance).has_value(); });
     self->SendQuotaMessages();
     if (self->is_stopping) {
@@ -266,15 +266,15 @@
 
 // Of an end that this entry saw, or shared with others. The digests are cut to eight digits
 // so that the line names all suspects that an end is likely to have.
-void Gateway::Impl::OnUpstreamEnded(const UpstreamEnd& end, std::string_view evidence) {
+void Gateway::Impl::OnUpstreamEnded(const UpstreamCrash& end, std::string_view evidence) {
   constexpr std::size_t kShortDigits = 8;
   ++counters.upstreams_ended;
   std::string suspects;
   for (const auto& it : end.suspects) {
     if (!suspects.empty()) suspects += ' ';
     suspects += it.digest.ToString().substr(0, kShortDigits);
-    if (it.has_shown_event) suspects += '+';
-    if (it.was_alone) suspects += '!';
+    if (it.has_sent_event) suspects += '+';
+    if (it.was_isolated) suspects += '!';
   }
   log.Write(MonotonicMs(), "upstream_ended",
             {{"upstream", end.instance},
@@ -288,7 +288,7 @@
   WakeSuspects();
 }
 
-void Gateway::Impl::AddUpstreamEnd(const UpstreamEnd& end) {
+void Gateway::Impl::AddUpstreamEnd(const UpstreamCrash& end) {
   const TimeMs now = MonotonicMs();
   crashes.OnToldOf(end, now);
   if (!quarantine.Add(end, now)) return;
@@ -297,7 +297,7 @@
 }
 
 void Gateway::Impl::NoteRefused() {
-  for (const auto& it : quarantine.TakeRefused()) {
+  for (const auto& it : quarantine.TakeNewRefusals()) {
     log.Write(MonotonicMs(), "request_quarantined", {{"digest", it.ToString()}});
     if (on_request_refused) on_request_refused(it);
   }
@@ -328,21 +328,21 @@
   return confirmed_at != 0 && now - confirmed_at <= options.revoke_ms - kKeyMarginMs;
 }
 
-QuotaTaker::Verdict Gateway::Impl::TakeQuota(const std::shared_ptr<internal::Exchange>& exchange,
-                                             const std::string& organisation, double amount) {
+QuotaClient::Admission Gateway::Impl::TakeQuota(const std::shared_ptr<internal::Exchange>& exchange,
+                                                const std::string& organisation, double amount) {
   const std::uint64_t ticket = ++last_ticket;
-  const auto verdict = quotas.Take(organisation, amount, ticket, MonotonicMs());
-  if (verdict.decision != QuotaTaker::Decision::kAsked) return verdict;
+  const auto verdict = quotas.Acquire(organisation, amount, ticket, MonotonicMs());
+  if (verdict.decision != QuotaClient::Decision::kPending) return verdict;
   exchange->OnQuotaAsked(ticket);
   AwaitGiver(exchange, ticket);
   return verdict;
 }
 
-QuotaTaker::Verdict Gateway::Impl::TakeOfUpstream(
+QuotaClient::Admission Gateway::Impl::TakeOfUpstream(
     const std::shared_ptr<internal::Exchange>& exchange, const std::string& instance) {
   const std::uint64_t ticket = ++last_ticket;
-  const auto verdict = quotas.TakeOfUpstream(instance, ticket, MonotonicMs());
-  if (verdict.decision != QuotaTaker::Decision::kAsked) return verdict;
+  const auto verdict = quotas.AcquireForUpstream(instance, ticket, MonotonicMs());
+  if (verdict.decision != QuotaClient::Decision::kPending) return verdict;
   exchange->OnShareAsked(ticket, instance);
   AwaitGiver(exchange, ticket);
   return verdict;
@@ -360,7 +360,7 @@
 }
 
 void Gateway::Impl::LimitUpstream(const std::string& instance, std::optional<double> per_s) {
-  auto outcomes = quotas.LimitUpstream(instance, per_s, MonotonicMs());
+  auto outcomes = quotas.SetUpstreamLimit(instance, per_s, MonotonicMs());
   // Not from within an exchange's own call.
   boost::asio::post(io, [self = shared_from_this(), outcomes = std::move(outcomes)] {
     self->TellQuotas(outcomes);
@@ -372,13 +372,13 @@
   if (asking.erase(ticket) > 0) quotas.Cancel(ticket);
 }
 
-void Gateway::Impl::TellQuotas(const std::vector<QuotaTaker::Outcome>& outcomes) {
+void Gateway::Impl::TellQuotas(const std::vector<QuotaClient::Outcome>& outcomes) {
   for (const auto& it : outcomes) {
     const auto found = asking.find(it.ticket);
     if (found == asking.end()) continue;
     const auto exchange = found->second.lock();
     asking.erase(found);
-    if (exchange) exchange->OnQuota(it.ticket, it.verdict);
+    if (exchange) exchange->OnQuota(it.ticket, it.admission);
   }
 }
 
@@ -386,7 +386,7 @@
   if (on_quota_message) {
     for (const auto& it : quotas.TakeMessages(MonotonicMs())) on_quota_message(it);
   }
-  const TimeMs next = quotas.NextAt();
+  const TimeMs next = quotas.NextExpiryAt();
   if (next == 0) return;
   const DurationMs delay = std::max<DurationMs>(1, next - MonotonicMs());
   quota_timer.After(delay, [self = shared_from_this()] {
@@ -513,13 +513,13 @@
 }
 
 void Gateway::OnResumed(std::function<void()> call) { impl_->on_resumed = std::move(call); }
-void Gateway::OnUpstreamEnd(std::function<void(const UpstreamEnd&)> call) {
+void Gateway::OnUpstreamEnd(std::function<void(const UpstreamCrash&)> call) {
   impl_->on_upstream_end = std::move(call);
 }
 void Gateway::OnRequestRefused(std::function<void(const RequestDigest&)> call) {
   impl_->on_request_refused = std::move(call);
 }
-void Gateway::AddUpstreamEnd(const UpstreamEnd& end) { impl_->AddUpstreamEnd(end); }
+void Gateway::AddUpstreamEnd(const UpstreamCrash& end) { impl_->AddUpstreamEnd(end); }
 void Gateway::RefuseRequest(const RequestDigest& digest) {
   impl_->quarantine.Refuse(digest, MonotonicMs());
   impl_->WakeSuspects();
@@ -527,11 +527,11 @@
 bool Gateway::ReleaseRequest(const RequestDigest& digest) {
   return impl_->quarantine.Release(digest, MonotonicMs());
 }
-void Gateway::OnQuotaMessages(std::function<void(const QuotaTaker::Message&)> call) {
+void Gateway::OnQuotaMessages(std::function<void(const QuotaClient::Message&)> call) {
   impl_->on_quota_message = std::move(call);
 }
-void Gateway::SetQuotaGivers(std::vector<QuotaTaker::Giver> givers) {
-  impl_->quotas.SetGivers(std::move(givers), MonotonicMs());
+void Gateway::SetQuotaGivers(std::vector<QuotaClient::Allocator> givers) {
+  impl_->quotas.SetAllocators(std::move(givers), MonotonicMs());
   impl_->TellQuotas(impl_->quotas.Expire(MonotonicMs()));
   impl_->SendQuotaMessages();
 }
@@ -539,8 +539,10 @@
   impl_->TellQuotas(impl_->quotas.OnGrant(grant, MonotonicMs()));
   impl_->SendQuotaMessages();
 }
-void Gateway::OnQuotaLinkClosed(const std::string& instance) { impl_->quotas.OnClosed(instance); }
-const QuotaTaker& Gateway::quotas() const { return impl_->quotas; }
+void Gateway::OnQuotaLinkClosed(const std::string& instance) {
+  impl_->quotas.OnLinkClosed(instance);
+}
+const QuotaClient& Gateway::quotas() const { return impl_->quotas; }
 const QuarantineTable& Gateway::quarantine() const { return impl_->quarantine; }
 
 const GatewayCounters& Gateway::counters() const {
--- a/src/gateway/gateway_impl.h
+++ b/src/gateway/gateway_impl.h
@@ -41,15 +41,15 @@
   bool MayTrustKeys(TimeMs now) const;
 
   // Requests that wait for a giver's word on their organisation's quota.
-  QuotaTaker::Verdict TakeQuota(const std::shared_ptr<internal::Exchange>& exchange,
-                                const std::string& organisation, double amount);
+  QuotaClient::Admission TakeQuota(const std::shared_ptr<internal::Exchange>& exchange,
+                                   const std::string& organisation, double amount);
   // The same for what an upstream that names a limit takes.
-  QuotaTaker::Verdict TakeOfUpstream(const std::shared_ptr<internal::Exchange>& exchange,
-                                     const std::string& instance);
+  QuotaClient::Admission TakeOfUpstream(const std::shared_ptr<internal::Exchange>& exchange,
+                                        const std::string& instance);
   void AwaitGiver(const std::shared_ptr<internal::Exchange>& exchange, std::uint64_t ticket);
   void LimitUpstream(const std::string& instance, std::optional<double> per_s);
   void CancelQuota(std::uint64_t ticket);
-  void TellQuotas(const std::vector<QuotaTaker::Outcome>& outcomes);
+  void TellQuotas(const std::vector<QuotaClient::Outcome>& outcomes);
   void SendQuotaMessages();
 
   // Requests that wait for a model.
@@ -66,8 +66,8 @@
   // What the answer to a request sent to `instance` at `sent_at` says beside its body.
   void OnAnswer(const std::string& instance, const internal::UpstreamHead& head, TimeMs sent_at);
 
-  void OnUpstreamEnded(const UpstreamEnd& end, std::string_view evidence);
-  void AddUpstreamEnd(const UpstreamEnd& end);
+  void OnUpstreamEnded(const UpstreamCrash& end, std::string_view evidence);
+  void AddUpstreamEnd(const UpstreamCrash& end);
   void NoteRefused();
   // Those that wait for an upstream without another suspect, or may be refused now.
   void WakeSuspects();
@@ -84,13 +84,13 @@
   RetryBudget retries;
   internal::UpstreamPool pool;
   QuarantineTable quarantine;
-  Probation probation;
+  SuspectIsolation probation;
   internal::CrashWatch crashes;
-  QuotaTaker quotas;
+  QuotaClient quotas;
   std::map<std::uint64_t, std::weak_ptr<internal::Exchange>> asking;  // By ticket.
   std::uint64_t last_ticket = 0;
   bool is_sending_quotas = false;
-  std::function<void(const QuotaTaker::Message&)> on_quota_message;
+  std::function<void(const QuotaClient::Message&)> on_quota_message;
   Timer quota_timer;
   TimeMs confirmed_at = 0;  // The configuration was the newest then; 0: never known.
   GatewayCounters counters;
@@ -101,7 +101,7 @@
   std::vector<UpstreamTable::Waiting> turned_away;  // Of the last seconds; `since` is when.
   std::set<std::shared_ptr<internal::CallerConnection>> connections;
   std::function<void(const std::string& instance)> on_new_demand;
-  std::function<void(const UpstreamEnd&)> on_upstream_end;
+  std::function<void(const UpstreamCrash&)> on_upstream_end;
   std::function<void(const RequestDigest&)> on_request_refused;
   bool is_stopping = false;
   TimeMs stop_since = 0;
--- a/src/quarantine/quarantine_table.cc
+++ b/src/quarantine/quarantine_table.cc
@@ -8,10 +8,10 @@
 
 // Two ends tell which request it was only if it was known to be alone at the second;
 // a third, with whomever, is proof enough for all.
-constexpr int kEndsToKnow = 2;
-constexpr int kEndsToRefuse = 3;
+constexpr int kCrashesIfIsolated = 2;
+constexpr int kCrashesToRefuse = 3;
 // Between an instance and how often it has started since it was listed.
-constexpr char kNextStart[] = "+";
+constexpr char kRestartSeparator[] = "+";
 
 const Suspect* FindSuspect(const std::vector<Suspect>& suspects, const RequestDigest& digest) {
   const auto it = std::find_if(suspects.begin(), suspects.end(),
@@ -21,126 +21,131 @@
 
 }  // namespace
 
-void QuarantineTable::AddPending(const UpstreamEnd& end, TimeMs now) {
-  if (!IsKnown(end.instance)) Put(end, true, now);
+void QuarantineTable::AddPending(const UpstreamCrash& crash, TimeMs now) {
+  if (!IsKnown(crash.instance)) AddCrash(crash, true, now);
 }
 
 void QuarantineTable::Withdraw(const std::string& instance) {
-  const auto it = ends_.find(instance);
-  if (it != ends_.end() && it->second.is_pending) Drop(instance);
+  const auto it = crashes_.find(instance);
+  if (it != crashes_.end() && it->second.is_pending) RemoveCrash(instance);
 }
 
-bool QuarantineTable::Add(const UpstreamEnd& end, TimeMs now) { return Put(end, false, now); }
+bool QuarantineTable::Add(const UpstreamCrash& crash, TimeMs now) {
+  return AddCrash(crash, false, now);
+}
 
-bool QuarantineTable::Put(const UpstreamEnd& end, bool is_pending, TimeMs now) {
-  const TimeMs ended_at = now - std::max<DurationMs>(0, end.age_ms);
-  if (now - ended_at >= limits_.suspect_ms) return false;
-  const auto [it, is_new] = ends_.emplace(end.instance, End{ended_at, is_pending, {}});
-  End& known = it->second;
-  if (is_new) order_.push_back(end.instance);
-  bool is_news = known.is_pending && !is_pending;
+bool QuarantineTable::AddCrash(const UpstreamCrash& crash, bool is_pending, TimeMs now) {
+  const TimeMs crashed_at = now - std::max<DurationMs>(0, crash.age_ms);
+  if (now - crashed_at >= limits_.suspicion_ttl_ms) return false;
+  const auto [it, is_new] = crashes_.emplace(crash.instance, Crash{crashed_at, is_pending, {}});
+  Crash& known = it->second;
+  if (is_new) crash_order_.push_back(crash.instance);
+  bool is_new_information = known.is_pending && !is_pending;
   known.is_pending = known.is_pending && is_pending;
-  known.ended_at = std::min(known.ended_at, ended_at);
-  for (const auto& suspect : end.suspects) {
+  known.crashed_at = std::min(known.crashed_at, crashed_at);
+  for (const auto& suspect : crash.suspects) {
     const auto cleared = cleared_.find(suspect.digest);
-    const bool was_cleared = cleared != cleared_.end() && cleared->second >= known.ended_at;
-    const bool is_full = known.suspects.size() >= limits_.most_suspects;
+    const bool was_cleared = cleared != cleared_.end() && cleared->second >= known.crashed_at;
+    const bool is_full = known.suspects.size() >= limits_.max_suspects;
     if (was_cleared || is_full || FindSuspect(known.suspects, suspect.digest) != nullptr) continue;
     known.suspects.push_back(suspect);
-    is_news = true;
+    is_new_information = true;
   }
   for (const auto& suspect : known.suspects) {
-    auto& marks = marks_[suspect.digest];
-    auto mark = std::find_if(marks.begin(), marks.end(),
-                             [&](const Mark& other) { return other.instance == end.instance; });
-    if (mark == marks.end()) mark = marks.insert(marks.end(), Mark{});
-    *mark = {end.instance, known.ended_at, known.is_pending, suspect.has_shown_event,
-             suspect.was_alone};
+    auto& evidence = evidence_[suspect.digest];
+    auto item = std::find_if(evidence.begin(), evidence.end(), [&](const Evidence& other) {
+      return other.instance == crash.instance;
+    });
+    if (item == evidence.end()) item = evidence.insert(evidence.end(), Evidence{});
+    *item = {crash.instance, known.crashed_at, known.is_pending, suspect.has_sent_event,
+             suspect.was_isolated};
   }
   const std::vector<Suspect> suspects = known.suspects;
-  for (const auto& suspect : suspects) Judge(suspect.digest, now);
-  if (ends_.size() > limits_.most_ends) Drop(order_.front());
-  return is_news;
+  for (const auto& suspect : suspects) RefuseIfProven(suspect.digest, now);
+  if (crashes_.size() > limits_.max_crashes) RemoveCrash(crash_order_.front());
+  return is_new_information;
 }
 
-void QuarantineTable::Drop(const std::string& instance) {
-  const auto it = ends_.find(instance);
-  if (it == ends_.end()) return;
-  for (const auto& suspect : it->second.suspects) Unmark(suspect.digest, instance);
-  ends_.erase(it);
-  order_.erase(std::remove(order_.begin(), order_.end(), instance), order_.end());
+void QuarantineTable::RemoveCrash(const std::string& instance) {
+  const auto it = crashes_.find(instance);
+  if (it == crashes_.end()) return;
+  for (const auto& suspect : it->second.suspects) RemoveEvidence(suspect.digest, instance);
+  crashes_.erase(it);
+  crash_order_.erase(std::remove(crash_order_.begin(), crash_order_.end(), instance),
+                     crash_order_.end());
 }
 
-void QuarantineTable::Unmark(const RequestDigest& digest, const std::string& instance) {
-  const auto it = marks_.find(digest);
-  if (it == marks_.end()) return;
-  auto& marks = it->second;
-  marks.erase(std::remove_if(marks.begin(), marks.end(),
-                             [&](const Mark& mark) { return mark.instance == instance; }),
-              marks.end());
-  if (marks.empty()) marks_.erase(it);
+void QuarantineTable::RemoveEvidence(const RequestDigest& digest, const std::string& instance) {
+  const auto it = evidence_.find(digest);
+  if (it == evidence_.end()) return;
+  auto& evidence = it->second;
+  evidence.erase(std::remove_if(evidence.begin(), evidence.end(),
+                                [&](const Evidence& item) { return item.instance == instance; }),
+                 evidence.end());
+  if (evidence.empty()) evidence_.erase(it);
 }
 
 void QuarantineTable::Clear(const RequestDigest& digest, TimeMs now) {
-  const auto it = marks_.find(digest);
-  if (it == marks_.end()) return;
+  const auto it = evidence_.find(digest);
+  if (it == evidence_.end()) return;
   ++cleared_count_;
   cleared_[digest] = now;
-  for (const auto& mark : it->second) {
-    auto& suspects = ends_[mark.instance].suspects;
+  for (const auto& item : it->second) {
+    auto& suspects = crashes_[item.instance].suspects;
     suspects.erase(std::remove_if(suspects.begin(), suspects.end(),
                                   [&](const Suspect& other) { return other.digest == digest; }),
                    suspects.end());
   }
-  marks_.erase(it);
+  evidence_.erase(it);
 }
 
 // An upstream that ended while the only suspect was there, and that suspect one that had
 // been there when another ended. It was the only one if no other entry has told of another
 // by the time they all have. A third end with it is enough whoever else was there: each further
 // one costs up to 64 streams that had no part in it, a wrong refusal costs one.
-bool QuarantineTable::IsProven(const RequestDigest& digest, const std::vector<Mark>& marks,
+bool QuarantineTable::IsProven(const RequestDigest& digest, const std::vector<Evidence>& evidence,
                                Proof proof, TimeMs now) const {
-  const bool is_lasting = proof == Proof::kLasting;
-  std::vector<const Mark*> ends;
-  for (const auto& it : marks) {
-    if (!is_lasting || !it.is_pending) ends.push_back(&it);
+  const bool is_final = proof == Proof::kFinal;
+  std::vector<const Evidence*> crashes;
+  for (const auto& it : evidence) {
+    if (!is_final || !it.is_pending) crashes.push_back(&it);
   }
-  std::sort(ends.begin(), ends.end(),
-            [](const Mark* a, const Mark* b) { return a->ended_at < b->ended_at; });
+  std::sort(crashes.begin(), crashes.end(),
+            [](const Evidence* a, const Evidence* b) { return a->crashed_at < b->crashed_at; });
   int causes = 0;
-  bool was_alone = false;
+  bool was_isolated = false;
   TimeMs last_at = 0;
-  for (const Mark* it : ends) {
-    const bool is_same_cause = causes > 0 && it->ended_at - last_at < limits_.same_cause_ms;
-    last_at = it->ended_at;
+  for (const Evidence* it : crashes) {
+    const bool is_same_cause =
+        causes > 0 && it->crashed_at - last_at < limits_.common_cause_window_ms;
+    last_at = it->crashed_at;
     if (!is_same_cause) ++causes;
-    const bool is_settled = !is_lasting || now - it->ended_at >= limits_.settle_ms;
-    was_alone |= is_settled && causes >= kEndsToKnow && it->was_alone &&
-                 IsOnlyOneAlone(digest, it->instance);
+    const bool is_reported = !is_final || now - it->crashed_at >= limits_.report_window_ms;
+    was_isolated |= is_reported && causes >= kCrashesIfIsolated && it->was_isolated &&
+                    IsOnlyIsolatedSuspect(digest, it->instance);
   }
-  return causes >= kEndsToRefuse || was_alone;
+  return causes >= kCrashesToRefuse || was_isolated;
 }
 
-bool QuarantineTable::IsOnlyOneAlone(const RequestDigest& digest,
-                                     const std::string& instance) const {
-  const auto end = ends_.find(instance);
-  if (end == ends_.end()) return false;
-  return std::none_of(end->second.suspects.begin(), end->second.suspects.end(),
-                      [&](const Suspect& it) { return it.was_alone && !(it.digest == digest); });
+bool QuarantineTable::IsOnlyIsolatedSuspect(const RequestDigest& digest,
+                                            const std::string& instance) const {
+  const auto crash = crashes_.find(instance);
+  if (crash == crashes_.end()) return false;
+  return std::none_of(crash->second.suspects.begin(), crash->second.suspects.end(),
+                      [&](const Suspect& it) { return it.was_isolated && !(it.digest == digest); });
 }
 
-void QuarantineTable::Judge(const RequestDigest& digest, TimeMs now) {
-  const auto it = marks_.find(digest);
-  if (it == marks_.end() || refused_.count(digest) > 0) return;
-  if (!IsProven(digest, it->second, Proof::kLasting, now)) return;
+void QuarantineTable::RefuseIfProven(const RequestDigest& digest, TimeMs now) {
+  const auto it = evidence_.find(digest);
+  if (it == evidence_.end() || refused_.count(digest) > 0) return;
+  if (!IsProven(digest, it->second, Proof::kFinal, now)) return;
   Refuse(digest, now);
-  refused_[digest].ends = static_cast<int>(it->second.size());
+  refused_[digest].crashes = static_cast<int>(it->second.size());
   newly_refused_.push_back(digest);
 }
 
 void QuarantineTable::Refuse(const RequestDigest& digest, TimeMs now) {
-  if (refused_.size() >= limits_.most_refused && refused_.count(digest) == 0) {
+  if (refused_.size() >= limits_.max_refusals && refused_.count(digest) == 0) {
     const auto oldest = std::min_element(
         refused_.begin(), refused_.end(),
         [](const auto& a, const auto& b) { return a.second.since < b.second.since; });
@@ -154,76 +159,77 @@
   // One end is left to its account, so that it is sent alone and a second one is enough.
   Clear(digest, now);
   cleared_.erase(digest);
-  UpstreamEnd end;
-  end.instance = "released " + digest.ToString();
-  end.suspects.push_back({digest, false, false});
-  Put(end, false, now);
+  UpstreamCrash crash;
+  crash.instance = "released " + digest.ToString();
+  crash.suspects.push_back({digest, false, false});
+  AddCrash(crash, false, now);
   return true;
 }
 
 void QuarantineTable::Expire(TimeMs now) {
-  for (const auto& [digest, marks] : marks_) Judge(digest, now);
-  while (!order_.empty() && now - ends_[order_.front()].ended_at >= limits_.suspect_ms) {
-    Drop(std::string(order_.front()));
+  for (const auto& [digest, evidence] : evidence_) RefuseIfProven(digest, now);
+  while (!crash_order_.empty() &&
+         now - crashes_[crash_order_.front()].crashed_at >= limits_.suspicion_ttl_ms) {
+    RemoveCrash(std::string(crash_order_.front()));
   }
   for (auto it = cleared_.begin(); it != cleared_.end();) {
-    it = now - it->second >= limits_.suspect_ms ? cleared_.erase(it) : std::next(it);
+    it = now - it->second >= limits_.suspicion_ttl_ms ? cleared_.erase(it) : std::next(it);
   }
   for (auto it = refused_.begin(); it != refused_.end();) {
-    it = now - it->second.since >= limits_.refuse_ms ? refused_.erase(it) : std::next(it);
+    it = now - it->second.since >= limits_.refusal_ttl_ms ? refused_.erase(it) : std::next(it);
   }
 }
 
-Standing QuarantineTable::StandingOf(const RequestDigest& digest, TimeMs now) const {
+QuarantineStatus QuarantineTable::StatusOf(const RequestDigest& digest, TimeMs now) const {
   const auto refused = refused_.find(digest);
-  if (refused != refused_.end() && now - refused->second.since < limits_.refuse_ms) {
-    return Standing::kRefused;
+  if (refused != refused_.end() && now - refused->second.since < limits_.refusal_ttl_ms) {
+    return QuarantineStatus::kRefused;
   }
-  const auto it = marks_.find(digest);
-  if (it == marks_.end()) return Standing::kClear;
-  const auto& marks = it->second;
-  // It is decided within settle_ms whether the last upstream has ended, and who else was there:
-  // one attempt is given up for that, where the next one would most likely end a further
+  const auto it = evidence_.find(digest);
+  if (it == evidence_.end()) return QuarantineStatus::kClear;
+  const auto& evidence = it->second;
+  // It is decided within report_window_ms whether the last upstream has ended, and who else was
+  // there: one attempt is given up for that, where the next one would most likely end a further
   // upstream.
-  if (IsProven(digest, marks, Proof::kForNow, now)) return Standing::kRefused;
+  if (IsProven(digest, evidence, Proof::kProvisional, now)) return QuarantineStatus::kRefused;
   // One that had shown a part of its answer is the less likely one: none of those
   // recorded had. It is not held up for one end.
-  const bool has_begun_twice = marks.size() >= kEndsToKnow;
+  const bool has_repeated = evidence.size() >= kCrashesIfIsolated;
   const bool is_suspect =
-      has_begun_twice || std::any_of(marks.begin(), marks.end(),
-                                     [](const Mark& mark) { return !mark.has_shown_event; });
-  return is_suspect ? Standing::kSuspect : Standing::kClear;
+      has_repeated || std::any_of(evidence.begin(), evidence.end(),
+                                  [](const Evidence& item) { return !item.has_sent_event; });
+  return is_suspect ? QuarantineStatus::kSuspect : QuarantineStatus::kClear;
 }
 
-std::string QuarantineTable::NameOfEnd(const std::string& instance, TimeMs begun_at) const {
+std::string QuarantineTable::CrashName(const std::string& instance, TimeMs started_at) const {
   std::string name = instance;
-  for (int starts = 1;; ++starts) {
-    const auto it = ends_.find(name);
-    if (it == ends_.end() || begun_at <= it->second.ended_at) return name;
-    name = instance + kNextStart + std::to_string(starts);
+  for (int restarts = 1;; ++restarts) {
+    const auto it = crashes_.find(name);
+    if (it == crashes_.end() || started_at <= it->second.crashed_at) return name;
+    name = instance + kRestartSeparator + std::to_string(restarts);
   }
 }
 
-std::string QuarantineTable::InstanceOfEnd(const std::string& name) {
-  return name.substr(0, name.find(kNextStart));
+std::string QuarantineTable::InstanceOfCrash(const std::string& name) {
+  return name.substr(0, name.find(kRestartSeparator));
 }
 
-std::vector<UpstreamEnd> QuarantineTable::Recent(TimeMs now) const {
-  std::vector<UpstreamEnd> recent;
-  for (const auto& it : order_) {
-    auto end = Find(it, now);
-    if (end && !end->suspects.empty()) recent.push_back(std::move(*end));
+std::vector<UpstreamCrash> QuarantineTable::RecentCrashes(TimeMs now) const {
+  std::vector<UpstreamCrash> crashes;
+  for (const auto& it : crash_order_) {
+    auto crash = Find(it, now);
+    if (crash && !crash->suspects.empty()) crashes.push_back(std::move(*crash));
   }
-  return recent;
+  return crashes;
 }
 
-std::optional<UpstreamEnd> QuarantineTable::Find(const std::string& instance, TimeMs now) const {
-  const auto it = ends_.find(instance);
-  if (it == ends_.end() || it->second.is_pending) return std::nullopt;
-  return UpstreamEnd{instance, now - it->second.ended_at, it->second.suspects, false};
+std::optional<UpstreamCrash> QuarantineTable::Find(const std::string& instance, TimeMs now) const {
+  const auto it = crashes_.find(instance);
+  if (it == crashes_.end() || it->second.is_pending) return std::nullopt;
+  return UpstreamCrash{instance, now - it->second.crashed_at, it->second.suspects, false};
 }
 
-std::vector<RequestDigest> QuarantineTable::TakeRefused() {
+std::vector<RequestDigest> QuarantineTable::TakeNewRefusals() {
   return std::exchange(newly_refused_, {});
 }
 
@@ -233,33 +239,33 @@
   return all;
 }
 
-std::vector<std::string> Probation::TakenBesides(const RequestDigest& digest) const {
-  std::vector<std::string> taken;
-  for (const auto& [instance, at] : at_) {
-    if (!(at == digest)) taken.push_back(instance);
+std::vector<std::string> SuspectIsolation::OccupiedByOthers(const RequestDigest& digest) const {
+  std::vector<std::string> occupied;
+  for (const auto& [instance, at] : suspects_) {
+    if (!(at == digest)) occupied.push_back(instance);
   }
-  return taken;
+  return occupied;
 }
 
-std::vector<std::string> Probation::Taken() const {
-  std::vector<std::string> taken;
-  for (const auto& [instance, at] : at_) taken.push_back(instance);
-  return taken;
+std::vector<std::string> SuspectIsolation::Occupied() const {
+  std::vector<std::string> occupied;
+  for (const auto& [instance, at] : suspects_) occupied.push_back(instance);
+  return occupied;
 }
 
-std::optional<std::string> Probation::Find(const RequestDigest& digest) const {
-  const auto it = std::find_if(at_.begin(), at_.end(),
-                               [&](const auto& place) { return place.second == digest; });
-  return it == at_.end() ? std::nullopt : std::optional<std::string>(it->first);
+std::optional<std::string> SuspectIsolation::Find(const RequestDigest& digest) const {
+  const auto it = std::find_if(suspects_.begin(), suspects_.end(),
+                               [&](const auto& entry) { return entry.second == digest; });
+  return it == suspects_.end() ? std::nullopt : std::optional<std::string>(it->first);
 }
 
-bool Probation::Enter(const std::string& instance, const RequestDigest& digest) {
-  return at_.emplace(instance, digest).first->second == digest;
+bool SuspectIsolation::Reserve(const std::string& instance, const RequestDigest& digest) {
+  return suspects_.emplace(instance, digest).first->second == digest;
 }
 
-void Probation::Leave(const std::string& instance, const RequestDigest& digest) {
-  const auto it = at_.find(instance);
-  if (it != at_.end() && it->second == digest) at_.erase(it);
+void SuspectIsolation::Release(const std::string& instance, const RequestDigest& digest) {
+  const auto it = suspects_.find(instance);
+  if (it != suspects_.end() && it->second == digest) suspects_.erase(it);
 }
 
 }  // namespace junctionrail
--- a/src/quarantine/request_digest.cc
+++ b/src/quarantine/request_digest.cc
@@ -20,20 +20,20 @@
   hash->Add(part);
 }
 
-std::uint64_t ReadWord(const unsigned char* bytes) {
-  std::uint64_t word = 0;
-  for (int n = 0; n < 8; ++n) word = word << 8 | bytes[n];
-  return word;
+std::uint64_t ReadUint64(const unsigned char* bytes) {
+  std::uint64_t value = 0;
+  for (int n = 0; n < 8; ++n) value = value << 8 | bytes[n];
+  return value;
 }
 
-std::optional<std::uint64_t> ParseWord(std::string_view digits) {
-  std::uint64_t word = 0;
+std::optional<std::uint64_t> ParseHex64(std::string_view digits) {
+  std::uint64_t value = 0;
   for (const char c : digits) {
     const bool is_decimal = c >= '0' && c <= '9';
     if (!is_decimal && (c < 'a' || c > 'f')) return std::nullopt;
-    word = word << 4 | static_cast<std::uint64_t>(is_decimal ? c - '0' : c - 'a' + 10);
+    value = value << 4 | static_cast<std::uint64_t>(is_decimal ? c - '0' : c - 'a' + 10);
   }
-  return word;
+  return value;
 }
 
 }  // namespace
@@ -47,7 +47,7 @@
     AddPart(&hash, part);
   }
   const Sha256Digest bytes = hash.Finish();
-  return {ReadWord(bytes.data()), ReadWord(bytes.data() + 8)};
+  return {ReadUint64(bytes.data()), ReadUint64(bytes.data() + 8)};
 }
 
 std::string RequestDigest::ToString() const {
@@ -59,8 +59,8 @@
 
 std::optional<RequestDigest> RequestDigest::Parse(std::string_view text) {
   if (text.size() != kHexDigits) return std::nullopt;
-  const auto high = ParseWord(text.substr(0, kHexDigits / 2));
-  const auto low = ParseWord(text.substr(kHexDigits / 2));
+  const auto high = ParseHex64(text.substr(0, kHexDigits / 2));
+  const auto low = ParseHex64(text.substr(kHexDigits / 2));
   if (!high || !low) return std::nullopt;
   return RequestDigest{*high, *low};
 }
--- a/src/tenancy/organisations.cc
+++ b/src/tenancy/organisations.cc
@@ -23,10 +23,10 @@
   return it == by_key_.end() ? nullptr : &organisations_[it->second];
 }
 
-void ConfigurationWord::OnApplied(std::uint64_t version) { version_ = version; }
+void ConfigurationFreshness::OnApplied(std::uint64_t version) { version_ = version; }
 
 // An earlier version comes from a store that lost the later one.
-bool ConfigurationWord::OnShown(std::uint64_t version, TimeMs as_of) {
+bool ConfigurationFreshness::OnConfirmed(std::uint64_t version, TimeMs as_of) {
   if (version > version_) return false;
   as_of_ = std::max(as_of_, as_of);
   return true;
--- a/test/crashing_requests_test.cc
+++ b/test/crashing_requests_test.cc
@@ -35,15 +35,15 @@
 
 constexpr std::uint16_t kPort = 8120;
 constexpr std::uint16_t kLinkPort = 8220;
-constexpr char kDeadly[] = "ends whoever runs it";
+constexpr char kCrashingBody[] = "ends whoever runs it";
 // From the beginning of the run to the upstream's end; 53 to 103 ms were seen.
 constexpr DurationMs kRunMs = 60;
 constexpr DurationMs kFirstEventMs = 20;
 // The second end under a request is enough to know it by.
-constexpr int kMostEnds = 2;
+constexpr int kMaxCrashes = 2;
 // From its third one on no entry may send it. So many end if its caller is at the next
 // entry sooner than any word of the second.
-constexpr int kMostEndsOfTheQuickest = 3;
+constexpr int kMaxCrashesBeforePropagation = 3;
 
 constexpr char kConfiguration[] = R"({"version":1,"routes":[
   {"name":"r1","hostname":"shop.example","pathPrefix":"/s/","kind":"streaming","timeoutMs":6000,
@@ -57,7 +57,7 @@
     R"({"models":[{"name":"m1","version":1,"adapters":[]}],"busyCount":false,"sequence":0,
         "waiting":0,"running":0,"kvUsed":0,"kvTotal":9})";
 
-bool Holds(const std::string& text, const std::string& part) {
+bool HasText(const std::string& text, const std::string& part) {
   return text.find(part) != std::string::npos;
 }
 
@@ -126,9 +126,9 @@
       return peer->Write("HTTP/1.1 200 OK\r\nContent-Length: " +
                          std::to_string(sizeof(kReport) - 1) + "\r\n\r\n" + kReport);
     }
-    if (request.body == kDeadly) {
-      ++deadly_runs;
-      return After(kRunMs, [this, n, life = instances[n]] { Crash(n, life); });
+    if (request.body == kCrashingBody) {
+      ++crashing_runs;
+      return After(kRunMs, [this, n, instance = instances[n]] { Crash(n, instance); });
     }
     const std::string id = request.Field("Attempt-Id");
     After(kFirstEventMs, [peer, id] {
@@ -142,9 +142,9 @@
   }
 
   // Another request may have ended that life already.
-  void Crash(int n, const std::string& life) {
-    if (instances[n] != life || !ended.insert(life).second) return;
-    ++ends;
+  void Crash(int n, const std::string& instance) {
+    if (instances[n] != instance || !crashed_instances.insert(instance).second) return;
+    ++crashes;
     engines[static_cast<std::size_t>(n)]->Crash();
     if (restart_ms == 0) return;
     After(restart_ms, [this, n] { StartEngine(n); });
@@ -172,10 +172,11 @@
     entries.push_back(std::make_unique<DirectEntry>(io, settings, SilentLog()));
     const auto error = entries.back()->Start();
     EXPECT_TRUE(!error, error ? error->sentence : "");
-    RunFor(io, kSettleMs);
+    RunFor(io, kStartupMs);
   }
 
-  std::string Ask(std::size_t entry, const std::string& body, const std::string& from = "") {
+  std::string SendRequest(std::size_t entry, const std::string& body,
+                          const std::string& from = "") {
     TestCaller caller(io, EntryAddress(entry), from);
     caller.Send(Request(body));
     caller.AwaitEnd();
@@ -203,26 +204,26 @@
   bool IsRefusedByAll() {
     for (std::size_t n = 0; n < entries.size(); ++n) {
       const bool is_refused = RunUntil(
-          io, [&] { return Holds(Get(EntryAddress(n), "/quarantine"), "\"refused\":[{"); });
+          io, [&] { return HasText(Get(EntryAddress(n), "/quarantine"), "\"refused\":[{"); });
       if (!is_refused) return false;
     }
     return true;
   }
 
   // Six times, at one entry after the other; each time all of them come to know of it.
-  void AskDeadlyInTurn() {
+  void SendCrashingRequestToEachEntry() {
     for (std::size_t n = 0; n < 6; ++n) {
-      Ask(n % entries.size(), kDeadly);
+      SendRequest(n % entries.size(), kCrashingBody);
       EXPECT_TRUE(IsRefusedByAll(), "each entry comes to know of it");
     }
   }
 
-  void ExpectEndsAtMost(int most) const {
-    EXPECT_TRUE(ends <= most, "expected " + std::to_string(most) +
-                                  " upstreams to end at most, got " + std::to_string(ends));
+  void ExpectAtMostCrashes(int most) const {
+    EXPECT_TRUE(crashes <= most, "expected " + std::to_string(most) +
+                                     " upstreams to end at most, got " + std::to_string(crashes));
   }
 
-  static constexpr DurationMs kSettleMs = 700;
+  static constexpr DurationMs kStartupMs = 700;
 
   boost::asio::io_context io;
   StandinStore store{io};
@@ -231,12 +232,12 @@
   std::vector<std::unique_ptr<ScriptedUpstream>> engines;
   std::vector<std::unique_ptr<DirectAgent>> agents;
   std::vector<std::unique_ptr<DirectEntry>> entries;
-  DurationMs restart_ms = 0;    // After an end; 0: none.
-  std::set<std::string> ended;  // By instance.
+  DurationMs restart_ms = 0;                // After an end; 0: none.
+  std::set<std::string> crashed_instances;  // By instance.
   int starts = 0;
   int requests = 0;
-  int deadly_runs = 0;
-  int ends = 0;
+  int crashing_runs = 0;
+  int crashes = 0;
 };
 
 }  // namespace
@@ -246,15 +247,15 @@
 TEST(CrashingRequests, EndNoMoreThanTwoUpstreamsHoweverOftenTheyComeBackToOneEntry) {
   World world(6);
   world.AddEntry();
-  for (int n = 0; n < 6; ++n) world.Ask(0, kDeadly);
-  world.ExpectEndsAtMost(kMostEnds);
+  for (int n = 0; n < 6; ++n) world.SendRequest(0, kCrashingBody);
+  world.ExpectAtMostCrashes(kMaxCrashes);
 }
 
 TEST(CrashingRequests, EndNoMoreThanTwoUpstreamsHoweverManyEntriesTheyComeBackTo) {
   World world(6);
   for (int n = 0; n < 3; ++n) world.AddEntry();
-  world.AskDeadlyInTurn();
-  world.ExpectEndsAtMost(kMostEnds);
+  world.SendCrashingRequestToEachEntry();
+  world.ExpectAtMostCrashes(kMaxCrashes);
 }
 
 TEST(CrashingRequests, AreKnownAgainFromWhateverAddressTheyCome) {
@@ -263,62 +264,63 @@
   World world(6);
   for (int n = 0; n < 2; ++n) world.AddEntry();
   for (int n = 0; n < 6; ++n) {
-    world.Ask(static_cast<std::size_t>(n % 2), kDeadly, "127.0.0." + std::to_string(100 + n));
+    world.SendRequest(static_cast<std::size_t>(n % 2), kCrashingBody,
+                      "127.0.0." + std::to_string(100 + n));
     EXPECT_TRUE(world.IsRefusedByAll(), "each entry comes to know of it");
   }
-  world.ExpectEndsAtMost(kMostEnds);
+  world.ExpectAtMostCrashes(kMaxCrashes);
 }
 
 TEST(CrashingRequests, EndNoFourthUpstreamThoughTheyComeBackSoonerThanAnyWordOfThem) {
   World world(6);
   for (int n = 0; n < 3; ++n) world.AddEntry();
-  for (std::size_t n = 0; n < 6; ++n) world.Ask(n % 3, kDeadly);
-  world.ExpectEndsAtMost(kMostEndsOfTheQuickest);
+  for (std::size_t n = 0; n < 6; ++n) world.SendRequest(n % 3, kCrashingBody);
+  world.ExpectAtMostCrashes(kMaxCrashesBeforePropagation);
 }
 
 TEST(CrashingRequests, AreSentOnceAtATimeByAnEntryToWhichTheyComeManyTimesAtOnce) {
   World world(6);
   world.AddEntry();
-  world.Ask(0, "innocent");
+  world.SendRequest(0, "innocent");
   std::vector<std::unique_ptr<TestCaller>> callers;
   for (int n = 0; n < 2; ++n) {
     callers.push_back(std::make_unique<TestCaller>(world.io, world.EntryAddress(0)));
-    callers.back()->Send(world.Request(kDeadly));
+    callers.back()->Send(world.Request(kCrashingBody));
   }
   for (const auto& it : callers) it->AwaitEnd();
   EXPECT_TRUE(world.IsRefusedByAll(), "it is known");
-  world.Ask(0, kDeadly);
-  EXPECT_TRUE(world.ends <= 3,
-              "expected 2 at first and 1 of them again at most, got " + std::to_string(world.ends));
+  world.SendRequest(0, kCrashingBody);
+  EXPECT_TRUE(world.crashes <= 3, "expected 2 at first and 1 of them again at most, got " +
+                                      std::to_string(world.crashes));
 }
 
 TEST(CrashingRequests, AreKnownToAllEntriesByTheStoreWhereNoAgentRuns) {
   World world(6, false);
   for (int n = 0; n < 3; ++n) world.AddEntry();
-  world.AskDeadlyInTurn();
-  world.ExpectEndsAtMost(kMostEnds);
+  world.SendCrashingRequestToEachEntry();
+  world.ExpectAtMostCrashes(kMaxCrashes);
 }
 
 TEST(CrashingRequests, AreKnownToAllEntriesByTheAgentsWhileTheStoreIsAway) {
   World world(6);
   for (int n = 0; n < 3; ++n) world.AddEntry();
   world.store.mood = StandinStore::Mood::kBusy;
-  world.AskDeadlyInTurn();
-  world.ExpectEndsAtMost(kMostEnds);
+  world.SendCrashingRequestToEachEntry();
+  world.ExpectAtMostCrashes(kMaxCrashes);
 }
 
 TEST(CrashingRequests, AreRefusedAtOnceAsNotRunWithNoTimeToComeBack) {
   World world(4);
   world.AddEntry();
-  const std::string first = world.Ask(0, kDeadly);
-  EXPECT_TRUE(Holds(first, " 502 ") && Holds(first, "\"ran\":\"unknown\""), first);
+  const std::string first = world.SendRequest(0, kCrashingBody);
+  EXPECT_TRUE(HasText(first, " 502 ") && HasText(first, "\"ran\":\"unknown\""), first);
   EXPECT_TRUE(world.IsRefusedByAll(), "it is known");
-  const int runs = world.deadly_runs;
-  const std::string second = world.Ask(0, kDeadly);
-  EXPECT_TRUE(Holds(second, " 503 ") && Holds(second, "\"ran\":\"no\"") &&
-                  Holds(second, "ends_upstreams") && !Holds(second, "Retry-After"),
+  const int runs = world.crashing_runs;
+  const std::string second = world.SendRequest(0, kCrashingBody);
+  EXPECT_TRUE(HasText(second, " 503 ") && HasText(second, "\"ran\":\"no\"") &&
+                  HasText(second, "ends_upstreams") && !HasText(second, "Retry-After"),
               second);
-  EXPECT_NUMBER(runs, world.deadly_runs, "and it has not run");
+  EXPECT_NUMBER(runs, world.crashing_runs, "and it has not run");
 }
 
 TEST(CrashingRequests, TakeNoInnocentOnesWithThemAndDoNotHoldThemUpForLong) {
@@ -327,24 +329,24 @@
   std::vector<std::unique_ptr<TestCaller>> callers;
   for (std::size_t n = 0; n < 60; ++n) {
     callers.push_back(std::make_unique<TestCaller>(world.io, world.EntryAddress(n % 3)));
-    callers.back()->Send(world.Request(n == 30 ? kDeadly : "innocent " + std::to_string(n)));
+    callers.back()->Send(world.Request(n == 30 ? kCrashingBody : "innocent " + std::to_string(n)));
   }
-  const auto is_whole = [](const std::string& answer) {
-    return Holds(answer, "id: 2") && Holds(answer, "\r\n0\r\n\r\n");
+  const auto is_complete = [](const std::string& answer) {
+    return HasText(answer, "id: 2") && HasText(answer, "\r\n0\r\n\r\n");
   };
   std::vector<std::size_t> failed;
   for (std::size_t n = 0; n < callers.size(); ++n) {
     callers[n]->AwaitEnd();
     const std::string& answer = callers[n]->received();
-    EXPECT_TRUE(n == 30 || !Holds(answer, "ends_upstreams"), "an innocent one is refused");
-    if (n != 30 && !is_whole(answer)) failed.push_back(n);
+    EXPECT_TRUE(n == 30 || !HasText(answer, "ends_upstreams"), "an innocent one is refused");
+    if (n != 30 && !is_complete(answer)) failed.push_back(n);
   }
-  EXPECT_NUMBER(kMostEnds, world.ends, "upstreams ended");
+  EXPECT_NUMBER(kMaxCrashes, world.crashes, "upstreams ended");
   // Its two attempts may meet both ends by chance.
   EXPECT_TRUE(failed.size() <= 2, "failed at the first try: " + std::to_string(failed.size()));
   for (const auto n : failed) {
-    const std::string answer = world.Ask(n % 3, "innocent " + std::to_string(n));
-    EXPECT_TRUE(is_whole(answer), "served when its caller comes back: " + answer);
+    const std::string answer = world.SendRequest(n % 3, "innocent " + std::to_string(n));
+    EXPECT_TRUE(is_complete(answer), "served when its caller comes back: " + answer);
   }
   EXPECT_TRUE(world.IsRefusedByAll(), "one refusal is listed");
 }
@@ -362,7 +364,7 @@
     if (n % 4 == 0) {
       for (int k = 0; k < 2; ++k) {
         callers.push_back(std::make_unique<TestCaller>(world.io, entry(n / 4 + k)));
-        callers.back()->Send(world.Request(kDeadly, k));
+        callers.back()->Send(world.Request(kCrashingBody, k));
       }
     }
     innocent.push_back(std::make_unique<TestCaller>(world.io, entry(n)));
@@ -373,8 +375,8 @@
   int refused = 0;
   for (const auto& it : innocent) {
     it->AwaitEnd();
-    served += Holds(it->received(), "id: 2") ? 1 : 0;
-    refused += Holds(it->received(), "ends_upstreams") ? 1 : 0;
+    served += HasText(it->received(), "id: 2") ? 1 : 0;
+    refused += HasText(it->received(), "ends_upstreams") ? 1 : 0;
   }
   for (const auto& it : callers) it->AwaitEnd();
   EXPECT_NUMBER(0, refused, "innocent requests refused");
@@ -382,46 +384,46 @@
               "expected three quarters of 120 innocent ones served at their first try, got " +
                   std::to_string(served));
   // Two ends for each, and for each one more at every other entry that had it at the same time.
-  EXPECT_TRUE(world.ends <= 8,
-              "expected 8 upstreams to end at most, got " + std::to_string(world.ends));
+  EXPECT_TRUE(world.crashes <= 8,
+              "expected 8 upstreams to end at most, got " + std::to_string(world.crashes));
 }
 
 TEST(CrashingRequests, AreTriedOnceMoreWhenAnOperatorReleasesThem) {
   World world(6);
   for (int n = 0; n < 2; ++n) world.AddEntry();
-  world.Ask(0, kDeadly);
+  world.SendRequest(0, kCrashingBody);
   EXPECT_TRUE(world.IsRefusedByAll(), "it is known");
   const std::string page = world.Get(world.EntryAddress(0), "/quarantine");
   const std::size_t at = page.find("\"digest\":\"");
   EXPECT_TRUE(at != std::string::npos, "one refusal is listed: " + page);
   const std::string digest = page.substr(at + 10, 32);
-  EXPECT_TRUE(Holds(world.Get(world.EntryAddress(1), "/quarantine"), digest), "at each entry");
+  EXPECT_TRUE(HasText(world.Get(world.EntryAddress(1), "/quarantine"), digest), "at each entry");
   const std::string released =
       world.Get(world.EntryAddress(0), "/quarantine/release/" + digest, "POST");
-  EXPECT_TRUE(Holds(released, " 200 "), released);
+  EXPECT_TRUE(HasText(released, " 200 "), released);
   const std::string unknown = world.Get(world.EntryAddress(0), "/quarantine/release/1", "POST");
-  EXPECT_TRUE(Holds(unknown, " 400 "), unknown);
+  EXPECT_TRUE(HasText(unknown, " 400 "), unknown);
   const bool is_released = RunUntil(world.io, [&] {
-    return Holds(world.Get(world.EntryAddress(1), "/quarantine"), "\"refused\":[]");
+    return HasText(world.Get(world.EntryAddress(1), "/quarantine"), "\"refused\":[]");
   });
   EXPECT_TRUE(is_released, "the other entry learns of it too");
-  const int ends = world.ends;
-  world.Ask(1, kDeadly);
+  const int crashes = world.crashes;
+  world.SendRequest(1, kCrashingBody);
   EXPECT_TRUE(world.IsRefusedByAll(), "it is known again");
-  world.Ask(1, kDeadly);
-  EXPECT_NUMBER(ends + 1, world.ends, "tried once, at the other entry, then refused again");
+  world.SendRequest(1, kCrashingBody);
+  EXPECT_NUMBER(crashes + 1, world.crashes, "tried once, at the other entry, then refused again");
 }
 
 TEST(CrashingRequests, AreKnownToAnEntryThatStartsLater) {
   World world(6);
   world.AddEntry();
-  for (int n = 0; n < 2; ++n) world.Ask(0, kDeadly);
+  for (int n = 0; n < 2; ++n) world.SendRequest(0, kCrashingBody);
   EXPECT_TRUE(world.IsRefusedByAll(), "it is known");
   world.AddEntry();
   EXPECT_TRUE(world.IsRefusedByAll(), "to the other one too");
-  const int runs = world.deadly_runs;
-  world.Ask(1, kDeadly);
-  EXPECT_NUMBER(runs, world.deadly_runs, "no upstream runs it again");
+  const int runs = world.crashing_runs;
+  world.SendRequest(1, kCrashingBody);
+  EXPECT_NUMBER(runs, world.crashing_runs, "no upstream runs it again");
 }
 
 }  // namespace junctionrail::internal
--- a/test/gateway_keys_test.cc
+++ b/test/gateway_keys_test.cc
@@ -153,15 +153,15 @@
 // A world whose organisation "shop" has a limit, and a giver that a test answers for.
 struct LimitedWorld : World {
   LimitedWorld() {
-    shop.quota.per_s = 10;
+    shop.quota.rate_per_s = 10;
     shop.quota.burst = 10;
     shop.quota.unit = QuotaUnit::kTokens;
-    shop.quota.plain_tokens = 200;
+    shop.quota.default_tokens = 200;
     Put(2);
-    gateway->OnQuotaMessages([this](const QuotaTaker::Message& it) {
-      if (it.ask.wants.empty()) return;
-      asks.push_back(it.ask);
-      if (answers) Answer(it.ask.number, is_granted);
+    gateway->OnQuotaMessages([this](const QuotaClient::Message& it) {
+      if (it.request.demands.empty()) return;
+      asks.push_back(it.request);
+      if (answers) Answer(it.request.id, is_granted);
     });
     gateway->SetQuotaGivers({{"u9", "10.0.0.9:1"}});
   }
@@ -172,7 +172,7 @@
     });
   }
 
-  std::vector<QuotaAsk> asks;
+  std::vector<QuotaRequest> asks;
   bool answers = true;
   bool is_granted = true;
 };
@@ -182,9 +182,9 @@
 TEST(GatewayQuotas, CountTheTokensOfEachRequestOnce) {
   LimitedWorld world;
   EXPECT_TRUE(Holds(world.Ask(Request("GET /a/", kKey)), "200 OK"), "granted");
-  EXPECT_NUMBER(200, world.asks.at(0).wants.at(0).amounts.at(0), "it names no tokens");
+  EXPECT_NUMBER(200, world.asks.at(0).demands.at(0).amounts.at(0), "it names no tokens");
   world.Ask(Request("GET /a/", std::string(kKey) + "Junctionrail-Token-Usage: 1460, 80\r\n"));
-  EXPECT_NUMBER(1540, world.asks.at(1).wants.at(0).amounts.at(0), "the sum of both");
+  EXPECT_NUMBER(1540, world.asks.at(1).demands.at(0).amounts.at(0), "the sum of both");
 }
 
 TEST(GatewayQuotas, RefuseWithTheTimeToComeBackAndWithoutAQuestionTheNextTime) {
--- a/test/platform_test.cc
+++ b/test/platform_test.cc
@@ -132,8 +132,8 @@
   const OrganisationTable& table = *decoded.value().organisations;
   const Organisation* first = table.FindByKey(DigestOfKey("k2"));
   EXPECT_TRUE(first != nullptr && first->name == "o1" && first->priority == 3, "its second key");
-  EXPECT_TRUE(first->quota.unit == QuotaUnit::kTokens && first->quota.plain_tokens == 200 &&
-                  first->quota.per_s == 99468 && first->quota.burst == 1.5,
+  EXPECT_TRUE(first->quota.unit == QuotaUnit::kTokens && first->quota.default_tokens == 200 &&
+                  first->quota.rate_per_s == 99468 && first->quota.burst == 1.5,
               "its limit");
   const Organisation& second = table.all().at(1);
   EXPECT_TRUE(!second.quota.IsLimited() && !second.priority, "none is none");
--- a/test/random_quarantine_test.cc
+++ b/test/random_quarantine_test.cc
@@ -21,19 +21,19 @@
 constexpr DurationMs kFirstEventMs = 30;
 constexpr DurationMs kRestartMs = 700;
 // Word of an end is with all other entries that are not cut off within this.
-constexpr DurationMs kLongestWayMs = 40;
+constexpr DurationMs kMaxDelayMs = 40;
 // The users' bound: later than so long after the third end, three sends more at most.
-constexpr DurationMs kContactMs = 3000;
-constexpr int kMostLate = 3;
-constexpr int kEndsToKnow = 3;
+constexpr DurationMs kPropagationMs = 3000;
+constexpr int kMaxLateSends = 3;
+constexpr int kCrashesToPropagate = 3;
 
-RequestDigest Named(int n) { return {1, static_cast<std::uint64_t>(n)}; }
+RequestDigest DigestFor(int n) { return {1, static_cast<std::uint64_t>(n)}; }
 
 struct Run {
   int request = 0;
   int entry = 0;
   TimeMs since = 0;
-  bool was_alone = false;
+  bool was_isolated = false;
 };
 
 struct Upstream {
@@ -44,20 +44,20 @@
 
 struct Entry {
   QuarantineTable table;
-  Probation probation;
-  TimeMs cut_until = 0;
-  TimeMs in_touch_since = 0;
+  SuspectIsolation isolation;
+  TimeMs partitioned_until = 0;
+  TimeMs connected_since = 0;
 };
 
 struct Notice {
   int to = 0;
   TimeMs at = 0;
-  UpstreamEnd end;
+  UpstreamCrash crash;
 };
 
 // `cuts`: entries are cut off from all word for a time, and told of all when that is over. Other
 // requests may be refused then: an entry that knows of no suspect sends one beside them.
-template <bool cuts>
+template <bool has_partitions>
 class World {
  public:
   explicit World(std::uint32_t) : entries_(kEntries), upstreams_(kUpstreams) {}
@@ -65,16 +65,16 @@
   void Step(Word word) {
     now_ += kStepMs;
     const auto choice = word.Take(16);
-    if (choice == 0 && cuts) CutOff(entries_[word.Take(kEntries)], word);
-    if (choice <= 3) return ComeAgain(word);
+    if (choice == 0 && has_partitions) Partition(entries_[word.Take(kEntries)], word);
+    if (choice <= 3) return ResendDeadly(word);
     if (choice <= 9) Send(++requests_, static_cast<int>(word.Take(kEntries)), word);
-    Pass(word);
+    Advance(word);
   }
 
   void Drain() {
     for (int n = 0; n < 100; ++n) {
       now_ += kStepMs;
-      Pass(Word(static_cast<std::uint32_t>(n)));
+      Advance(Word(static_cast<std::uint32_t>(n)));
     }
   }
 
@@ -85,16 +85,16 @@
     return "u" + std::to_string(upstream) + "-" + std::to_string(start);
   }
 
-  void CutOff(Entry& entry, Word word) {
-    entry.cut_until = now_ + 500 + static_cast<TimeMs>(word.Take(3000));
+  void Partition(Entry& entry, Word word) {
+    entry.partitioned_until = now_ + 500 + static_cast<TimeMs>(word.Take(3000));
   }
 
   // Not sooner than word of the last end: that is another test's matter.
-  void ComeAgain(Word word) {
-    if (now_ - last_end_at_ > kLongestWayMs + kStepMs && !IsRunning(kDeadly)) {
+  void ResendDeadly(Word word) {
+    if (now_ - last_crash_at_ > kMaxDelayMs + kStepMs && !IsRunning(kDeadly)) {
       Send(kDeadly, static_cast<int>(word.Take(kEntries)), word);
     }
-    Pass(word);
+    Advance(word);
   }
 
   bool IsRunning(int request) const {
@@ -106,48 +106,51 @@
 
   void Send(int request, int from, Word word) {
     Entry& entry = entries_[static_cast<std::size_t>(from)];
-    const RequestDigest digest = Named(request);
-    const Standing standing = entry.table.StandingOf(digest, now_);
-    if (standing == Standing::kRefused) return;
-    const auto taken = standing == Standing::kSuspect ? entry.probation.TakenBesides(digest)
-                                                      : std::vector<std::string>();
+    const RequestDigest digest = DigestFor(request);
+    const QuarantineStatus standing = entry.table.StatusOf(digest, now_);
+    if (standing == QuarantineStatus::kRefused) return;
+    const auto occupied = standing == QuarantineStatus::kSuspect
+                              ? entry.isolation.OccupiedByOthers(digest)
+                              : std::vector<std::string>();
     std::vector<std::size_t> free;
     for (std::size_t n = 0; n < upstreams_.size(); ++n) {
       const bool is_free =
-          upstreams_[n].down_until <= now_ && !Contains(taken, Name(n, upstreams_[n].starts));
+          upstreams_[n].down_until <= now_ && !Contains(occupied, Name(n, upstreams_[n].starts));
       if (is_free) free.push_back(n);
     }
     if (free.empty()) return;
     const std::size_t to = free[word.Take(static_cast<std::uint32_t>(free.size()))];
     Upstream& upstream = upstreams_[to];
-    const bool was_alone =
-        standing == Standing::kSuspect && entry.probation.Enter(Name(to, upstream.starts), digest);
-    upstream.runs.push_back({request, from, now_, was_alone});
-    if (request == kDeadly) CountLate(entry);
+    const bool was_isolated = standing == QuarantineStatus::kSuspect &&
+                              entry.isolation.Reserve(Name(to, upstream.starts), digest);
+    upstream.runs.push_back({request, from, now_, was_isolated});
+    if (request == kDeadly) CheckLateSend(entry);
   }
 
-  void CountLate(const Entry& entry) {
-    const bool is_known = third_end_at_ != 0 && now_ - third_end_at_ > kContactMs;
-    const bool is_in_touch = now_ - entry.in_touch_since > kContactMs && entry.cut_until <= now_;
-    if (!is_known || !is_in_touch) return;
-    Require(++late_ <= kMostLate, "expected three sends at most once all entries know, got more");
+  void CheckLateSend(const Entry& entry) {
+    const bool is_propagated = third_crash_at_ != 0 && now_ - third_crash_at_ > kPropagationMs;
+    const bool is_connected =
+        now_ - entry.connected_since > kPropagationMs && entry.partitioned_until <= now_;
+    if (!is_propagated || !is_connected) return;
+    Require(++late_sends_ <= kMaxLateSends,
+            "expected three sends at most once all entries know, got more");
   }
 
-  void Pass(Word word) {
+  void Advance(Word word) {
     Deliver();
     for (std::size_t n = 0; n < upstreams_.size(); ++n) Serve(n, word);
     for (auto& it : entries_) {
       it.table.Expire(now_);
-      for (const auto& refused : it.table.TakeRefused()) {
+      for (const auto& refused : it.table.TakeNewRefusals()) {
         Require(
-            refused == Named(kDeadly) || cuts,
+            refused == DigestFor(kDeadly) || has_partitions,
             "expected no other request to be refused, got request " + std::to_string(refused.low));
       }
-      if (it.cut_until == 0 || it.cut_until > now_) continue;
-      it.cut_until = 0;
-      it.in_touch_since = now_;
+      if (it.partitioned_until == 0 || it.partitioned_until > now_) continue;
+      it.partitioned_until = 0;
+      it.connected_since = now_;
       for (const auto& other : entries_) {
-        for (const auto& end : other.table.Recent(now_)) it.table.Add(end, now_);
+        for (const auto& crash : other.table.RecentCrashes(now_)) it.table.Add(crash, now_);
       }
     }
   }
@@ -156,7 +159,7 @@
     for (const auto& it : notices_) {
       Entry& to = entries_[static_cast<std::size_t>(it.to)];
       // What a cut keeps is told when it is over.
-      if (it.at <= now_ && to.cut_until == 0) to.table.Add(it.end, now_);
+      if (it.at <= now_ && to.partitioned_until == 0) to.table.Add(it.crash, now_);
     }
     notices_.erase(std::remove_if(notices_.begin(), notices_.end(),
                                   [this](const Notice& it) { return it.at <= now_; }),
@@ -165,56 +168,56 @@
 
   void Serve(std::size_t n, Word word) {
     Upstream& upstream = upstreams_[n];
-    const bool ends = std::any_of(upstream.runs.begin(), upstream.runs.end(), [&](const Run& it) {
-      return it.request == kDeadly && now_ - it.since >= kDeadlyRunMs;
-    });
-    if (ends) return End(n, word);
+    const bool is_crashing = std::any_of(
+        upstream.runs.begin(), upstream.runs.end(),
+        [&](const Run& it) { return it.request == kDeadly && now_ - it.since >= kDeadlyRunMs; });
+    if (is_crashing) return Crash(n, word);
     for (const auto& it : upstream.runs) {
       if (now_ - it.since < kRunMs) continue;
       Entry& entry = entries_[static_cast<std::size_t>(it.entry)];
-      entry.table.Clear(Named(it.request), now_);
-      entry.probation.Leave(Name(n, upstream.starts), Named(it.request));
+      entry.table.Clear(DigestFor(it.request), now_);
+      entry.isolation.Release(Name(n, upstream.starts), DigestFor(it.request));
     }
     upstream.runs.erase(std::remove_if(upstream.runs.begin(), upstream.runs.end(),
                                        [this](const Run& it) { return now_ - it.since >= kRunMs; }),
                         upstream.runs.end());
   }
 
-  void End(std::size_t n, Word word) {
+  void Crash(std::size_t n, Word word) {
     Upstream& upstream = upstreams_[n];
     const std::string name = Name(n, upstream.starts);
-    if (++ends_ == kEndsToKnow) third_end_at_ = now_;
-    last_end_at_ = now_;
+    if (++crashes_ == kCrashesToPropagate) third_crash_at_ = now_;
+    last_crash_at_ = now_;
     for (int k = 0; k < kEntries; ++k) {
-      UpstreamEnd end{name, 0, {}, false};
+      UpstreamCrash crash{name, 0, {}, false};
       for (const auto& it : upstream.runs) {
         const DurationMs ran_ms = now_ - it.since;
         const bool is_harmless = ran_ms >= kFirstEventMs + QuarantineLimits().harmless_after_ms;
-        const bool shows_events = it.request != kDeadly && ran_ms >= kFirstEventMs;
+        const bool has_sent_event = it.request != kDeadly && ran_ms >= kFirstEventMs;
         if (it.entry != k || is_harmless) continue;
-        end.suspects.push_back({Named(it.request), shows_events, it.was_alone});
+        crash.suspects.push_back({DigestFor(it.request), has_sent_event, it.was_isolated});
       }
-      Tell(k, end, word);
+      Notify(k, crash, word);
     }
-    const auto broken = std::exchange(upstream.runs, {});
-    for (const auto& it : broken) {
-      entries_[static_cast<std::size_t>(it.entry)].probation.Leave(name, Named(it.request));
+    const auto interrupted = std::exchange(upstream.runs, {});
+    for (const auto& it : interrupted) {
+      entries_[static_cast<std::size_t>(it.entry)].isolation.Release(name, DigestFor(it.request));
     }
     ++upstream.starts;
     upstream.down_until = now_ + kRestartMs;
     // Callers of the others come back once, after the word.
-    for (const auto& it : broken) {
+    for (const auto& it : interrupted) {
       if (it.request != kDeadly && retried_.insert(it.request).second)
         Send(it.request, it.entry, word);
     }
   }
 
-  void Tell(int from, const UpstreamEnd& end, Word word) {
-    if (end.suspects.empty()) return;
-    entries_[static_cast<std::size_t>(from)].table.Add(end, now_);
+  void Notify(int from, const UpstreamCrash& crash, Word word) {
+    if (crash.suspects.empty()) return;
+    entries_[static_cast<std::size_t>(from)].table.Add(crash, now_);
     for (int k = 0; k < kEntries; ++k) {
-      const auto way = 1 + static_cast<DurationMs>(word.Take(kLongestWayMs));
-      if (k != from) notices_.push_back({k, now_ + way, end});
+      const auto delay = 1 + static_cast<DurationMs>(word.Take(kMaxDelayMs));
+      if (k != from) notices_.push_back({k, now_ + delay, crash});
     }
   }
 
@@ -223,11 +226,11 @@
   std::vector<Notice> notices_;
   std::set<int> retried_;
   TimeMs now_ = 1000000;
-  TimeMs last_end_at_ = 0;
-  TimeMs third_end_at_ = 0;
+  TimeMs last_crash_at_ = 0;
+  TimeMs third_crash_at_ = 0;
   int requests_ = 0;
-  int ends_ = 0;
-  int late_ = 0;
+  int crashes_ = 0;
+  int late_sends_ = 0;
 };
 
 }  // namespace
--- a/test/upstream_notices_test.cc
+++ b/test/upstream_notices_test.cc
@@ -81,10 +81,10 @@
   void AddGiver() {
     for (const auto& it : gateways) {
       Gateway* gateway = it.get();
-      gateway->OnQuotaMessages([this, gateway](const QuotaTaker::Message& message) {
-        boost::asio::post(io, [this, gateway, ask = message.ask] {
-          const QuotaGrant grant = giver.OnAsk(ask, MonotonicMs());
-          if (!grant.shares.empty()) gateway->ApplyQuotaGrant(grant);
+      gateway->OnQuotaMessages([this, gateway](const QuotaClient::Message& message) {
+        boost::asio::post(io, [this, gateway, ask = message.request] {
+          const QuotaGrant grant = giver.OnRequest(ask, MonotonicMs());
+          if (!grant.allocations.empty()) gateway->ApplyQuotaGrant(grant);
         });
       });
       gateway->SetQuotaGivers({{"i-agent", "10.0.0.1:1"}});
@@ -104,7 +104,7 @@
 
   boost::asio::io_context io;
   EventLog log{QuietLog()};
-  QuotaGiver giver;
+  QuotaAllocator giver;
   std::vector<std::unique_ptr<Gateway>> gateways;
   std::vector<std::uint16_t> ports;
   std::vector<std::unique_ptr<ScriptedUpstream>> upstreams;
--- a/test/vouching_test.cc
+++ b/test/vouching_test.cc
@@ -64,7 +64,8 @@
     EXPECT_TRUE(!error, error ? error->sentence : "");
   }
 
-  std::string Ask(const Endpoint& endpoint, const std::string& target, const std::string& fields) {
+  std::string SendRequest(const Endpoint& endpoint, const std::string& target,
+                          const std::string& fields) {
     TestCaller caller(io, endpoint);
     caller.Send("GET " + target + " HTTP/1.1\r\nHost: shop.example\r\n" + fields +
                 "Connection: close\r\n\r\n");
@@ -74,8 +75,9 @@
 
   // What the second entry answers to a request with the key: there is no upstream, so it is
   // either that, or the key's age.
-  std::string AskWithKey() {
-    return Ask(Address(1), "/a/1", "Attempt-Id: r1\r\nDeadline-Ms: 1000\r\nKey: secret\r\n");
+  std::string SendRequestWithKey() {
+    return SendRequest(Address(1), "/a/1",
+                       "Attempt-Id: r1\r\nDeadline-Ms: 1000\r\nKey: secret\r\n");
   }
 
   boost::asio::io_context io;
@@ -83,7 +85,7 @@
   std::array<std::unique_ptr<DirectEntry>, 2> entries;
 };
 
-bool Holds(const std::string& text, const std::string& part) {
+bool HasText(const std::string& text, const std::string& part) {
   return text.find(part) != std::string::npos;
 }
 
@@ -93,19 +95,20 @@
 
 TEST(Vouching, KeepsAnEntryWithoutAStoreGoingForAsLongAsAnotherOneHasOne) {
   World world;
-  const bool is_known = RunUntil(
-      world.io, [&] { return Holds(world.Ask(World::Address(1, 2), "/ready", ""), " 200 "); });
-  EXPECT_TRUE(is_known, "it has the configuration from the other entry");
+  const bool is_ready = RunUntil(world.io, [&] {
+    return HasText(world.SendRequest(World::Address(1, 2), "/ready", ""), " 200 ");
+  });
+  EXPECT_TRUE(is_ready, "it has the configuration from the other entry");
   for (int n = 0; n < 6; ++n) {
     RunFor(world.io, kRevokeMs / 3);
-    const std::string with_word = world.AskWithKey();
-    EXPECT_TRUE(Holds(with_word, "no_upstream"), "the key is trusted: " + with_word);
+    const std::string confirmed = world.SendRequestWithKey();
+    EXPECT_TRUE(HasText(confirmed, "no_upstream"), "the key is trusted: " + confirmed);
   }
   world.store.mood = StandinStore::Mood::kSilent;
   world.store.SilenceWatches();
   RunFor(world.io, kRevokeMs);
-  const std::string without = world.AskWithKey();
-  EXPECT_TRUE(Holds(without, "old_configuration"), "what is told has an age too: " + without);
+  const std::string expired = world.SendRequestWithKey();
+  EXPECT_TRUE(HasText(expired, "old_configuration"), "what is told has an age too: " + expired);
 }
 
 TEST(Vouching, SaysTheSameAfterTheWay) {
