--- a/include/junctionrail/gateway.h
+++ b/include/junctionrail/gateway.h
@@ -18,7 +18,7 @@
 namespace junctionrail {
 
 // The names of the headers that callers, entries and upstreams share.
-struct CallHeaderNames {
+struct HttpHeaderNames {
   std::string request_id = "Junctionrail-Request-Id";
   std::string deadline_ms = "Junctionrail-Deadline-Ms";
   std::string priority = "Junctionrail-Priority";
@@ -41,44 +41,44 @@
     std::function<UpstreamNotice(unsigned status, const std::vector<HttpHeader>& fields)>;
 
 struct GatewayOptions {
-  Endpoint callers;
+  Endpoint listen_endpoint;
   std::string data_hall;
-  CallHeaderNames names;
+  HttpHeaderNames header_names;
   NoticeReader read_notice;  // Empty: upstreams say nothing that is to be read.
-  RetryBudget::Options retries;
+  RetryBudget::Options retry_budget;
   RoutingOptions routing;
-  std::string entry;  // This one, for those that grant quotas.
+  std::string entry_id;  // This one, for those that grant quotas.
   // Nothing is sent for a key by a configuration that may have been replaced for so long;
   // 0: any age will do.
-  DurationMs revoke_ms = 0;
+  DurationMs key_revocation_ms = 0;
   // After a stop the balancer may send new connections for so long: it notices
   // after two checks, a second apart.
-  DurationMs balancer_ms = 2500;
+  DurationMs balancer_delay_ms = 2500;
 };
 
 struct GatewayCounters {
   std::uint64_t connections = 0;
   std::uint64_t requests = 0;
   std::uint64_t served = 0;
-  std::uint64_t passed_failures = 0;  // Failures of upstreams, passed on.
-  std::uint64_t refused = 0;          // Not run.
-  std::uint64_t unknown = 0;          // May have run.
-  std::uint64_t broken = 0;           // Cut after the answer began.
-  std::uint64_t cancelled = 0;        // By the caller.
+  std::uint64_t relayed_failures = 0;     // Failures of upstreams, passed on.
+  std::uint64_t refused = 0;              // Not run.
+  std::uint64_t unknown_outcomes = 0;     // May have run.
+  std::uint64_t truncated_responses = 0;  // Cut after the answer began.
+  std::uint64_t cancelled = 0;            // By the caller.
   std::uint64_t bad_requests = 0;
   std::uint64_t retries = 0;
   std::uint64_t resumes = 0;
-  std::uint64_t waited_for_model = 0;
-  std::uint64_t unknown_keys = 0;     // Refused for a key that is missing or unknown.
-  std::uint64_t old_words = 0;        // Refused, as the key may have been taken away.
-  std::uint64_t over_quota = 0;       // Refused, as the organisation has used up its quota.
-  std::uint64_t without_giver = 0;    // Refused, as nobody grants quotas.
-  std::uint64_t quarantined = 0;      // Refused, as upstreams end when they run them.
-  std::uint64_t upstreams_ended = 0;  // With requests of this entry under way.
-  std::uint64_t held_by_limits = 0;   // Sends that found nothing left of an upstream's limit.
-  std::uint64_t rests_asked = 0;      // Refusals of upstreams that ask for a rest.
+  std::uint64_t model_waits = 0;
+  std::uint64_t invalid_key_refusals = 0;          // Refused for a key that is missing or unknown.
+  std::uint64_t stale_configuration_refusals = 0;  // Refused, as the key may have been taken away.
+  std::uint64_t over_quota_refusals = 0;  // Refused, as the organisation has used up its quota.
+  std::uint64_t quota_unavailable_refusals = 0;  // Refused, as nobody grants quotas.
+  std::uint64_t quarantine_refusals = 0;         // Refused, as upstreams end when they run them.
+  std::uint64_t upstreams_ended = 0;             // With requests of this entry under way.
+  std::uint64_t rate_limited_sends = 0;  // Sends that found nothing left of an upstream's limit.
+  std::uint64_t backoff_requests = 0;    // Refusals of upstreams that ask for a rest.
   std::uint64_t malformed_notices = 0;
-  std::uint64_t surplus_answers = 0;
+  std::uint64_t surplus_responses = 0;
   std::uint64_t upstream_connections = 0;
 };
 
@@ -125,16 +125,16 @@
   // The present demand, by instance.
   std::map<std::string, AgentDemand> Demands();
   // Of it, what requests that wait ask of one agent.
-  std::vector<ModelDemand> WantedFrom(const std::string& instance);
+  std::vector<ModelDemand> WaitingDemandFor(const std::string& instance);
   // Called when a request begins to wait for a model, with whose agent is asked.
   void OnNewDemand(std::function<void(const std::string& instance)> call);
 
   // The VM was suspended until just now: what was read before is older than it seems.
-  void OnResumed(std::function<void()> call);
+  void OnVmResumed(std::function<void()> call);
   // An upstream ended with requests of this entry under way that may have caused it.
   void OnUpstreamEnd(std::function<void(const UpstreamEnd&)> call);
   // What this entry found out, and refuses from now on.
-  void OnRequestRefused(std::function<void(const RequestDigest&)> call);
+  void OnRequestQuarantined(std::function<void(const RequestDigest&)> call);
   // What is to be sent to givers of quotas, who they are, and what they answer.
   void OnQuotaMessages(std::function<void(const QuotaTaker::Message&)> call);
   void SetQuotaGivers(std::vector<QuotaTaker::Giver> givers);
@@ -145,13 +145,13 @@
 
   // What other processes saw and found out.
   void AddUpstreamEnd(const UpstreamEnd& end);
-  void RefuseRequest(const RequestDigest& digest);
+  void QuarantineRequest(const RequestDigest& digest);
   // False when it is not refused here.
   bool ReleaseRequest(const RequestDigest& digest);
   const QuarantineTable& quarantine() const;
 
   const GatewayCounters& counters() const;
-  const LatencyHistogram& first_answer() const;
+  const LatencyHistogram& first_byte_latency() const;
   // How old the list of upstreams was by which each attempt was sent.
   const LatencyHistogram& listing_age() const;
   // Since the configuration in force is known to have been the newest; -1: it never was.
--- a/src/daemon/direct_entry.cc
+++ b/src/daemon/direct_entry.cc
@@ -71,15 +71,15 @@
 GatewayOptions ToGatewayOptions(const Settings& settings) {
   const DirectSettings& direct = *settings.direct;
   GatewayOptions options;
-  options.callers = direct.callers;
+  options.listen_endpoint = direct.callers;
   options.data_hall = settings.data_hall;
-  options.names = platform::HeaderNames();
+  options.header_names = platform::HeaderNames();
   options.read_notice = platform::ReadNotice;
-  options.retries = RetriesOf(direct);
+  options.retry_budget = RetriesOf(direct);
   options.routing.data_hall = settings.data_hall;
   options.routing.policy = direct.policy;
-  options.entry = settings.id;
-  options.revoke_ms = direct.revoke_ms;
+  options.entry_id = settings.id;
+  options.key_revocation_ms = direct.revoke_ms;
   return options;
 }
 
@@ -128,14 +128,14 @@
     if (!error) error = Serve(settings_.direct->metrics, "direct.metrics");
     if (error) return error;
     gateway_.OnNewDemand([this](const std::string& instance) { TellSoon(instance); });
-    gateway_.OnResumed([this] {
+    gateway_.OnVmResumed([this] {
       upstreams_.ReadSoon();
       configuration_.Reread();
       quarantine_->Reread();
     });
     store_.OnNewEra([this] { RecordRefusalsAgain(); });
     gateway_.OnUpstreamEnd([this](const UpstreamEnd& end) { TellOfEnd(end); });
-    gateway_.OnRequestRefused([this](const RequestDigest& it) { recorder_->Record(it); });
+    gateway_.OnRequestQuarantined([this](const RequestDigest& it) { recorder_->Record(it); });
     upstreams_.OnRegained([this] {
       configuration_.Reread();
       quarantine_->Reread();
@@ -230,7 +230,7 @@
   QuarantineFollower::Callbacks QuarantineCallbacks() {
     QuarantineFollower::Callbacks callbacks;
     callbacks.ended = [this](const UpstreamEnd& end) { gateway_.AddUpstreamEnd(end); };
-    callbacks.refused = [this](const RequestDigest& it) { gateway_.RefuseRequest(it); };
+    callbacks.refused = [this](const RequestDigest& it) { gateway_.QuarantineRequest(it); };
     callbacks.released = [this](const RequestDigest& it) { gateway_.ReleaseRequest(it); };
     return callbacks;
   }
@@ -488,7 +488,7 @@
     wanted.erase(std::remove_if(wanted.begin(), wanted.end(),
                                 [](const ModelDemand& it) { return it.waiting > 0; }),
                  wanted.end());
-    auto waiting = gateway_.WantedFrom(instance);
+    auto waiting = gateway_.WaitingDemandFor(instance);
     wanted.insert(wanted.begin(), waiting.begin(), waiting.end());
     sent->second.at = MonotonicMs();
     Tell(*upstream, demand, &sent->second);
--- a/src/daemon/direct_metrics.cc
+++ b/src/daemon/direct_metrics.cc
@@ -65,25 +65,25 @@
     page.Counter("junctionrail_outcomes_total", "Requests by their end.", n, {{"outcome", name}});
   };
   outcome("served", it.served);
-  outcome("passed_failure", it.passed_failures);
+  outcome("passed_failure", it.relayed_failures);
   outcome("refused", it.refused);
-  outcome("unknown", it.unknown);
-  outcome("broken", it.broken);
+  outcome("unknown", it.unknown_outcomes);
+  outcome("broken", it.truncated_responses);
   outcome("cancelled", it.cancelled);
   page.Counter("junctionrail_bad_requests_total", "Not understood.", it.bad_requests);
   page.Counter("junctionrail_retries_total", "Attempts beyond the first.", it.retries);
   page.Counter("junctionrail_resumes_total", "Streams that went on elsewhere.", it.resumes);
   page.Counter("junctionrail_model_waits_total", "Requests that waited for a load.",
-               it.waited_for_model);
+               it.model_waits);
   page.Counter("junctionrail_surplus_answers_total", "Answers nobody asked for.",
-               it.surplus_answers);
+               it.surplus_responses);
   page.Counter("junctionrail_upstream_connections_total", "Connections opened to upstreams.",
                it.upstream_connections);
   const QuarantineTable& quarantine = gateway.quarantine();
   page.Counter("junctionrail_upstreams_ended_total",
                "Ended with requests under way that may have caused it.", it.upstreams_ended);
   page.Counter("junctionrail_quarantined_total", "Refused, as upstreams end when they run them.",
-               it.quarantined);
+               it.quarantine_refusals);
   page.Counter("junctionrail_suspects_cleared_total", "Suspected, and then run without harm.",
                quarantine.cleared());
   page.Gauge("junctionrail_suspects", "Requests that are sent on alone.",
@@ -91,12 +91,13 @@
   page.Gauge("junctionrail_refused_digests", "Requests that are sent to no upstream.",
              static_cast<double>(quarantine.Refusals().size()));
   page.Counter("junctionrail_unknown_keys_total", "Refused for a missing or unknown key.",
-               it.unknown_keys);
+               it.invalid_key_refusals);
   page.Counter("junctionrail_old_configuration_total",
-               "Refused, as the key may have been taken away.", it.old_words);
-  page.Counter("junctionrail_over_quota_total", "Refused, as the quota is used up.", it.over_quota);
+               "Refused, as the key may have been taken away.", it.stale_configuration_refusals);
+  page.Counter("junctionrail_over_quota_total", "Refused, as the quota is used up.",
+               it.over_quota_refusals);
   page.Counter("junctionrail_without_giver_total", "Refused, as nobody grants quotas.",
-               it.without_giver);
+               it.quota_unavailable_refusals);
   page.Gauge("junctionrail_configuration_age_ms",
              "Since the configuration is known to have been the newest; -1: it never was.",
              static_cast<double>(gateway.ConfigurationAge()));
@@ -104,15 +105,15 @@
              "Upstreams that name a limit of requests a second from all entries.",
              gateway.upstreams().CountLimited());
   page.Counter("junctionrail_held_by_limits_total",
-               "Sends that found nothing left of an upstream's limit.", it.held_by_limits);
+               "Sends that found nothing left of an upstream's limit.", it.rate_limited_sends);
   page.Counter("junctionrail_upstream_rests_total", "Refusals of upstreams that ask for a rest.",
-               it.rests_asked);
+               it.backoff_requests);
   page.Counter("junctionrail_malformed_notices_total",
                "Answers of upstreams with a notice that could not be read.", it.malformed_notices);
   AddQuotas(gateway.quotas(), &page);
   AddHistogram("junctionrail_first_answer_ms",
-               "From a request's arrival to the first byte of its answer.", gateway.first_answer(),
-               &page);
+               "From a request's arrival to the first byte of its answer.",
+               gateway.first_byte_latency(), &page);
   AddHistogram("junctionrail_listing_age_ms",
                "Age of the list of upstreams by which an attempt was sent.", gateway.listing_age(),
                &page);
--- a/src/gateway/caller_connection.cc
+++ b/src/gateway/caller_connection.cc
@@ -15,20 +15,20 @@
 
 constexpr std::size_t kReadBytes = 8 << 10;
 // What a caller may send ahead while its request is under way.
-constexpr std::size_t kMostAhead = 64 << 10;
+constexpr std::size_t kMaxPipelinedBytes = 64 << 10;
 // A caller that does not read is left so far behind before its upstream is
 // paused.
-constexpr std::size_t kMostUnsent = 256 << 10;
+constexpr std::size_t kMaxUnsentBytes = 256 << 10;
 // Before the configuration is known; then its own limits hold.
-constexpr DurationMs kDefaultIdleMs = 15000;
+constexpr DurationMs kDefaultIdleTimeoutMs = 15000;
 // After the last answer the caller's own close is awaited, as closing with
 // bytes unread would reset the connection under the answer.
 constexpr DurationMs kLingerMs = 1000;
 
 constexpr unsigned kBadRequest = 400;
 constexpr unsigned kRequestTimeout = 408;
-constexpr unsigned kTooLarge = 413;
-constexpr unsigned kHeadTooLarge = 431;
+constexpr unsigned kContentTooLarge = 413;
+constexpr unsigned kHeaderFieldsTooLarge = 431;
 constexpr unsigned kNoContent = 204;
 constexpr unsigned kNotModified = 304;
 
@@ -43,14 +43,14 @@
 }
 
 void CallerConnection::Start() {
-  active_at_ = MonotonicMs();
+  last_activity_at_ = MonotonicMs();
   ArmTimer(gateway_.routes ? gateway_.routes->configuration().limits.idle_timeout_ms
-                           : kDefaultIdleMs);
+                           : kDefaultIdleTimeoutMs);
   Read();
 }
 
 void CallerConnection::Read() {
-  if (is_reading_ || is_closed_ || (exchange_ && buffer_.size() > kMostAhead)) return;
+  if (is_reading_ || is_closed_ || (exchange_ && buffer_.size() > kMaxPipelinedBytes)) return;
   is_reading_ = true;
   socket_.async_read_some(buffer_.prepare(kReadBytes),
                           [self = shared_from_this()](error_code ec, std::size_t n) {
@@ -61,7 +61,7 @@
 
 void CallerConnection::OnRead(error_code ec, std::size_t n) {
   if (ec) return Close();
-  active_at_ = MonotonicMs();
+  last_activity_at_ = MonotonicMs();
   if (is_lingering_) return Read();
   buffer_.commit(n);
   if (!exchange_) Parse();
@@ -69,7 +69,7 @@
 }
 
 void CallerConnection::Parse() {
-  while (!exchange_ && !is_closed_ && !is_last_answer_done_ && buffer_.size() > 0) {
+  while (!exchange_ && !is_closed_ && !is_last_response_done_ && buffer_.size() > 0) {
     if (!parser_) {
       parser_.emplace();
       parser_->eager(true);
@@ -77,7 +77,7 @@
           gateway_.routes ? gateway_.routes->configuration().limits : CallerLimits();
       parser_->header_limit(limits.max_header_bytes);
       parser_->body_limit(limits.max_body_bytes);
-      request_since_ = MonotonicMs();
+      request_started_at_ = MonotonicMs();
       ArmTimer(limits.header_timeout_ms);
     }
     const bool had_header = parser_->is_header_done();
@@ -86,7 +86,7 @@
     buffer_.consume(n);
     if (ec && ec != http::error::need_more) return OnParseError(ec);
     if (!had_header && parser_->is_header_done()) {
-      if (!IsFramingSound()) return Reject(kBadRequest, "bad_framing");
+      if (!IsFramingUnambiguous()) return Reject(kBadRequest, "bad_framing");
       const auto expect = parser_->get().find(http::field::expect);
       if (expect != parser_->get().end() && !parser_->is_done()) Write(kContinue);
     }
@@ -97,7 +97,7 @@
 
 // A message whose length two readers may understand differently could hide a
 // second request.
-bool CallerConnection::IsFramingSound() const {
+bool CallerConnection::IsFramingUnambiguous() const {
   const auto& fields = parser_->get().base();
   const auto codings = fields.equal_range(http::field::transfer_encoding);
   const auto n = std::distance(codings.first, codings.second);
@@ -108,8 +108,8 @@
 }
 
 void CallerConnection::OnParseError(error_code ec) {
-  if (ec == http::error::body_limit) return Reject(kTooLarge, "body_too_large");
-  if (ec == http::error::header_limit) return Reject(kHeadTooLarge, "head_too_large");
+  if (ec == http::error::body_limit) return Reject(kContentTooLarge, "body_too_large");
+  if (ec == http::error::header_limit) return Reject(kHeaderFieldsTooLarge, "head_too_large");
   Reject(kBadRequest, "malformed_request");
 }
 
@@ -120,8 +120,8 @@
                      {{"status", static_cast<std::int64_t>(status)}, {"code", code}});
   is_keep_alive_ = false;
   is_head_method_ = false;
-  SendWhole(status, {{"Content-Type", "application/json"}},
-            "{\"error\":{\"code\":\"" + std::string(code) + "\",\"ran\":\"no\"}}");
+  SendResponse(status, {{"Content-Type", "application/json"}},
+               "{\"error\":{\"code\":\"" + std::string(code) + "\",\"ran\":\"no\"}}");
 }
 
 void CallerConnection::Dispatch() {
@@ -134,10 +134,10 @@
   }
   request.body = std::make_shared<const std::string>(std::move(message.body()));
   request.arrived_at = MonotonicMs();
-  is_keep_alive_ = message.keep_alive() && !is_leaving_;
+  is_keep_alive_ = message.keep_alive() && !is_draining_;
   is_head_method_ = message.method() == http::verb::head;
   parser_.reset();
-  request_since_ = 0;
+  request_started_at_ = 0;
   timer_.Cancel();
   exchange_ = std::make_shared<Exchange>(gateway_, std::move(request),
                                          std::weak_ptr<CallerSink>(shared_from_this()));
@@ -146,9 +146,9 @@
   exchange->Start();
 }
 
-void CallerConnection::SendWhole(unsigned status, std::vector<HttpHeader> fields,
-                                 std::string body) {
-  const bool must_close = !is_keep_alive_ || is_leaving_;
+void CallerConnection::SendResponse(unsigned status, std::vector<HttpHeader> fields,
+                                    std::string body) {
+  const bool must_close = !is_keep_alive_ || is_draining_;
   std::string text;
   text.reserve(body.size() + 512);
   AppendStatusLine(status, &text);
@@ -159,7 +159,7 @@
   text += "\r\n";
   if (has_length) text += body;
   Write(text);
-  EndAnswer(must_close);
+  FinishResponse(must_close);
 }
 
 void CallerConnection::SendHead(unsigned status, std::vector<HttpHeader> fields) {
@@ -167,22 +167,22 @@
   AppendStatusLine(status, &text);
   AppendFields(fields, &text);
   AppendField("Transfer-Encoding", "chunked", &text);
-  if (!is_keep_alive_ || is_leaving_) {
+  if (!is_keep_alive_ || is_draining_) {
     is_keep_alive_ = false;
     AppendField("Connection", "close", &text);
   }
   text += "\r\n";
-  out_ += text;  // Leaves with the first event.
+  pending_output_ += text;  // Leaves with the first event.
 }
 
-void CallerConnection::SendPiece(std::string_view data) {
-  AppendChunk(data, &out_);
+void CallerConnection::SendBodyPart(std::string_view data) {
+  AppendChunk(data, &pending_output_);
   Flush();
 }
 
 void CallerConnection::SendEnd() {
   Write(kLastChunk);
-  EndAnswer(!is_keep_alive_);
+  FinishResponse(!is_keep_alive_);
 }
 
 void CallerConnection::Abort() {
@@ -190,11 +190,13 @@
   Close();
 }
 
-bool CallerConnection::IsBehind() const { return out_.size() + writing_.size() > kMostUnsent; }
+bool CallerConnection::IsSendQueueFull() const {
+  return pending_output_.size() + output_in_flight_.size() > kMaxUnsentBytes;
+}
 
 // Looks at the socket itself: while this process has no processor time a close
 // waits there, behind the request that it takes back.
-bool CallerConnection::HasLeft() {
+bool CallerConnection::HasDisconnected() {
   if (is_closed_) return true;
   error_code ec;
   socket_.non_blocking(true, ec);
@@ -204,16 +206,16 @@
   return ec && ec != asio::error::would_block && ec != asio::error::try_again;
 }
 
-void CallerConnection::EndAnswer(bool must_close) {
+void CallerConnection::FinishResponse(bool must_close) {
   exchange_.reset();
-  active_at_ = MonotonicMs();
-  if (must_close || is_idle_over_) {
-    is_last_answer_done_ = true;
-    if (writing_.empty() && out_.empty()) Linger();
+  last_activity_at_ = MonotonicMs();
+  if (must_close || closes_after_response_) {
+    is_last_response_done_ = true;
+    if (output_in_flight_.empty() && pending_output_.empty()) Linger();
     return;
   }
   ArmTimer(gateway_.routes ? gateway_.routes->configuration().limits.idle_timeout_ms
-                           : kDefaultIdleMs);
+                           : kDefaultIdleTimeoutMs);
   // Not from within the exchange's own call.
   asio::post(gateway_.io, [self = shared_from_this()] {
     if (self->is_closed_ || self->exchange_) return;
@@ -223,22 +225,22 @@
 }
 
 void CallerConnection::Write(std::string_view data) {
-  out_ += data;
+  pending_output_ += data;
   Flush();
 }
 
 void CallerConnection::Flush() {
-  if (is_closed_ || out_.empty() || !writing_.empty()) return;
-  writing_ = std::exchange(out_, std::string());
-  asio::async_write(socket_, asio::buffer(writing_),
+  if (is_closed_ || pending_output_.empty() || !output_in_flight_.empty()) return;
+  output_in_flight_ = std::exchange(pending_output_, std::string());
+  asio::async_write(socket_, asio::buffer(output_in_flight_),
                     [self = shared_from_this()](error_code ec, std::size_t) {
-                      self->writing_.clear();
+                      self->output_in_flight_.clear();
                       if (self->is_closed_) return;
                       if (ec) return self->Close();
                       self->Flush();
-                      if (!self->writing_.empty()) return;
-                      if (self->is_last_answer_done_) return self->Linger();
-                      if (self->exchange_) self->exchange_->OnCallerReady();
+                      if (!self->output_in_flight_.empty()) return;
+                      if (self->is_last_response_done_) return self->Linger();
+                      if (self->exchange_) self->exchange_->OnCallerWritable();
                     });
 }
 
@@ -259,34 +261,34 @@
   error_code ec;
   socket_.close(ec);
   const auto exchange = std::exchange(exchange_, nullptr);
-  if (exchange) exchange->OnCallerGone();
+  if (exchange) exchange->OnCallerDisconnected();
   gateway_.connections.erase(shared_from_this());
 }
 
-void CallerConnection::Leave(bool is_idle_over) {
-  is_leaving_ = true;
-  is_idle_over_ = is_idle_over;
+void CallerConnection::Drain(bool closes_after_response) {
+  is_draining_ = true;
+  closes_after_response_ = closes_after_response;
   // A request that is being read is still served.
   const bool is_between = IsIdle() && !parser_ && buffer_.size() == 0;
-  if (is_idle_over && is_between && !is_last_answer_done_) {
-    is_last_answer_done_ = true;
+  if (closes_after_response && is_between && !is_last_response_done_) {
+    is_last_response_done_ = true;
     Linger();
   }
 }
 
-void CallerConnection::Drop() {
+void CallerConnection::ForceClose() {
   if (exchange_) exchange_->OnStop();
   // What OnStop wrote leaves with the kernel's buffer.
-  if (!writing_.empty() || !out_.empty()) {
+  if (!output_in_flight_.empty() || !pending_output_.empty()) {
     error_code ec;
     socket_.non_blocking(true, ec);
-    if (writing_.empty()) socket_.write_some(asio::buffer(out_), ec);
+    if (output_in_flight_.empty()) socket_.write_some(asio::buffer(pending_output_), ec);
   }
   Close();
 }
 
-void CallerConnection::OnResumed() {
-  if (exchange_) exchange_->OnResumed();
+void CallerConnection::OnVmResumed() {
+  if (exchange_) exchange_->OnVmResumed();
 }
 
 void CallerConnection::ArmTimer(DurationMs delay) {
@@ -298,17 +300,17 @@
 void CallerConnection::OnTimer() {
   if (exchange_) return;
   if (is_lingering_) return Close();
-  if (is_last_answer_done_) return ArmTimer(kLingerMs);
+  if (is_last_response_done_) return ArmTimer(kLingerMs);
   if (parser_) {
     const CallerLimits limits =
         gateway_.routes ? gateway_.routes->configuration().limits : CallerLimits();
     if (!parser_->is_header_done()) return Reject(kRequestTimeout, "header_timeout");
     // A body that still arrives has the idle limit between its pieces.
-    const DurationMs quiet = MonotonicMs() - active_at_;
+    const DurationMs quiet = MonotonicMs() - last_activity_at_;
     if (quiet >= limits.idle_timeout_ms) return Reject(kRequestTimeout, "body_timeout");
     return ArmTimer(limits.idle_timeout_ms - quiet);
   }
-  is_last_answer_done_ = true;
+  is_last_response_done_ = true;
   Linger();
 }
 
--- a/src/gateway/caller_connection.h
+++ b/src/gateway/caller_connection.h
@@ -22,22 +22,24 @@
   CallerConnection(Gateway::Impl& gateway, boost::asio::ip::tcp::socket socket);
 
   void Start();
-  // The process is to end: the next answer is the last. `is_idle_over`: closes
+  // The process is to end: the next answer is the last. `closes_after_response`: closes
   // at once when no request is under way.
-  void Leave(bool is_idle_over);
+  void Drain(bool closes_after_response);
   // The process ends now.
-  void Drop();
+  void ForceClose();
   // The VM was suspended until just now.
-  void OnResumed();
-  bool IsIdle() const { return exchange_ == nullptr && out_.empty() && writing_.empty(); }
+  void OnVmResumed();
+  bool IsIdle() const {
+    return exchange_ == nullptr && pending_output_.empty() && output_in_flight_.empty();
+  }
 
-  void SendWhole(unsigned status, std::vector<HttpHeader> fields, std::string body) override;
+  void SendResponse(unsigned status, std::vector<HttpHeader> fields, std::string body) override;
   void SendHead(unsigned status, std::vector<HttpHeader> fields) override;
-  void SendPiece(std::string_view data) override;
+  void SendBodyPart(std::string_view data) override;
   void SendEnd() override;
   void Abort() override;
-  bool IsBehind() const override;
-  bool HasLeft() override;
+  bool IsSendQueueFull() const override;
+  bool HasDisconnected() override;
 
  private:
   using Parser = boost::beast::http::request_parser<boost::beast::http::string_body>;
@@ -46,10 +48,10 @@
   void OnRead(boost::system::error_code ec, std::size_t n);
   void Parse();
   void OnParseError(boost::system::error_code ec);
-  bool IsFramingSound() const;
+  bool IsFramingUnambiguous() const;
   void Dispatch();
   void Reject(unsigned status, std::string_view code);
-  void EndAnswer(bool must_close);
+  void FinishResponse(bool must_close);
   void Write(std::string_view data);
   void Flush();
   void Linger();
@@ -63,16 +65,16 @@
   boost::beast::flat_buffer buffer_;
   std::optional<Parser> parser_;
   std::shared_ptr<Exchange> exchange_;
-  std::string out_;           // To be written next.
-  std::string writing_;       // Under way.
-  TimeMs request_since_ = 0;  // First byte of the request being read; 0: none.
-  TimeMs active_at_ = 0;
+  std::string pending_output_;     // To be written next.
+  std::string output_in_flight_;   // Under way.
+  TimeMs request_started_at_ = 0;  // First byte of the request being read; 0: none.
+  TimeMs last_activity_at_ = 0;
   bool is_reading_ = false;
   bool is_keep_alive_ = true;
   bool is_head_method_ = false;
-  bool is_leaving_ = false;
-  bool is_idle_over_ = false;         // Closes after any answer, announced or not.
-  bool is_last_answer_done_ = false;  // Closes once all is written.
+  bool is_draining_ = false;
+  bool closes_after_response_ = false;  // Closes after any answer, announced or not.
+  bool is_last_response_done_ = false;  // Closes once all is written.
   bool is_lingering_ = false;
   bool is_closed_ = false;
 };
--- a/src/gateway/event_stream.cc
+++ b/src/gateway/event_stream.cc
@@ -33,12 +33,12 @@
 
 }  // namespace
 
-std::string EventStream::Take(std::string_view data) {
-  tail_ += data;
+std::string EventStreamReader::Feed(std::string_view data) {
+  partial_event_ += data;
   std::string whole;
   std::size_t at = 0;
   while (true) {
-    std::string_view rest(tail_);
+    std::string_view rest(partial_event_);
     rest.remove_prefix(at);
     const std::size_t end = EndOfEvent(rest);
     if (end == std::string_view::npos) break;
@@ -46,14 +46,14 @@
     at += end;
     const std::string_view id = FindId(event);
     std::int64_t number = 0;
-    const bool has_number = ParseWhole(id, &number);
-    if (has_number && last_number_ && number <= *last_number_) continue;
-    if (has_number) last_number_ = number;
+    const bool has_number = ParseWholeNumber(id, &number);
+    if (has_number && last_numeric_id_ && number <= *last_numeric_id_) continue;
+    if (has_number) last_numeric_id_ = number;
     if (!id.empty()) last_id_.assign(id);
-    ++events_;
+    ++event_count_;
     whole.append(event);
   }
-  tail_.erase(0, at);
+  partial_event_.erase(0, at);
   return whole;
 }
 
--- a/src/gateway/event_stream.h
+++ b/src/gateway/event_stream.h
@@ -10,26 +10,26 @@
 
 namespace junctionrail::internal {
 
-class EventStream {
+class EventStreamReader {
  public:
   // Takes bytes as they arrive and returns those that complete events. Events
   // that a resumed upstream sends again are left out.
-  std::string Take(std::string_view data);
+  std::string Feed(std::string_view data);
 
   // The upstream broke off: what is left of its last event is dropped.
-  void DropTail() { tail_.clear(); }
+  void DiscardPartialEvent() { partial_event_.clear(); }
 
   // Bytes after the last whole event.
-  const std::string& tail() const { return tail_; }
+  const std::string& partial_event() const { return partial_event_; }
   // The id of the last whole event; empty before any had one.
   const std::string& last_id() const { return last_id_; }
-  std::uint64_t events() const { return events_; }
+  std::uint64_t event_count() const { return event_count_; }
 
  private:
-  std::string tail_;
+  std::string partial_event_;
   std::string last_id_;
-  std::optional<std::int64_t> last_number_;
-  std::uint64_t events_ = 0;
+  std::optional<std::int64_t> last_numeric_id_;
+  std::uint64_t event_count_ = 0;
 };
 
 }  // namespace junctionrail::internal
--- a/src/gateway/exchange_access.cc
+++ b/src/gateway/exchange_access.cc
@@ -12,10 +12,10 @@
 constexpr DurationMs kOldConfigurationRetryMs = 1000;
 
 // So that a choice made again within the same millisecond passes the upstream over.
-constexpr DurationMs kLeastLimitRetryMs = 2;
+constexpr DurationMs kMinLimitRetryMs = 2;
 
 constexpr unsigned kBadRequest = 400;
-constexpr unsigned kUnauthorised = 401;
+constexpr unsigned kUnauthorized = 401;
 constexpr unsigned kTooManyRequests = 429;
 constexpr unsigned kUnavailable = 503;
 
@@ -26,19 +26,19 @@
   priority_ = route_->priority;
   const auto& organisations = routes_->configuration().organisations;
   if (!organisations) return true;
-  const std::string& name = gateway_.options.names.key;
+  const std::string& name = gateway_.options.header_names.key;
   const std::string* key = nullptr;
   for (const auto& it : request_.fields) {
     if (!EqualsNoCase(it.name, name)) continue;
     if (key != nullptr) {
-      Refuse(kBadRequest, "repeated_key", "expected one header " + name + ", found more", Ran::kNo,
-             0);
+      Refuse(kBadRequest, "repeated_key", "expected one header " + name + ", found more",
+             Execution::kNotRun, 0);
       return false;
     }
     key = &it.value;
   }
   if (key != nullptr && !key->empty()) key_ = DigestOfKey(*key);
-  const Organisation* holder = KeyHolder();
+  const Organisation* holder = KeyOwner();
   if (holder != nullptr) {
     organisation_ = holder->name;
     priority_ = holder->priority.value_or(route_->priority);
@@ -48,47 +48,49 @@
     key_.reset();
     return true;
   }
-  ++gateway_.counters.unknown_keys;
+  ++gateway_.counters.invalid_key_refusals;
   if (key_) {
-    Refuse(kUnauthorised, "unknown_key", "no organisation holds this key", Ran::kNo, 0);
+    Refuse(kUnauthorized, "unknown_key", "no organisation holds this key", Execution::kNotRun, 0);
   } else {
-    Refuse(kUnauthorised, "no_key", "expected a header " + name + ", found none", Ran::kNo, 0);
+    Refuse(kUnauthorized, "no_key", "expected a header " + name + ", found none",
+           Execution::kNotRun, 0);
   }
   return false;
 }
 
 // By the newest configuration, which may be a later one than the request began with.
-const Organisation* Exchange::KeyHolder() const {
+const Organisation* Exchange::KeyOwner() const {
   const auto& organisations = gateway_.routes->configuration().organisations;
   return key_ && organisations ? organisations->FindByKey(*key_) : nullptr;
 }
 
 // What it takes of its organisation's quota. False when it answered.
-bool Exchange::ReadAmount() {
-  const Organisation* holder = KeyHolder();
+bool Exchange::ReadQuotaAmount() {
+  const Organisation* holder = KeyOwner();
   if (holder == nullptr || !holder->quota.IsLimited()) return true;
-  amount_ = 1;
+  quota_amount_ = 1;
   if (holder->quota.unit == QuotaUnit::kRequests) return true;
-  amount_ = holder->quota.plain_tokens;
-  const std::string& name = gateway_.options.names.token_usage;
+  quota_amount_ = holder->quota.plain_tokens;
+  const std::string& name = gateway_.options.header_names.token_usage;
   const std::string* usage = FindField(request_.fields, name);
   if (usage == nullptr) return true;
   const auto tokens = ParseTokenUsage(*usage);
   if (tokens) {
-    amount_ = static_cast<double>(*tokens);
+    quota_amount_ = static_cast<double>(*tokens);
     return true;
   }
   Refuse(kBadRequest, "bad_token_usage",
-         "expected two whole numbers and a comma in " + name + ", found " + *usage, Ran::kNo, 0);
+         "expected two whole numbers and a comma in " + name + ", found " + *usage,
+         Execution::kNotRun, 0);
   return false;
 }
 
 // Looked at before each attempt: keys are taken away while requests wait, and this process
 // may not hear of it. False when it answered.
-bool Exchange::MayUseKey() {
+bool Exchange::RecheckKey() {
   if (!key_) return true;
-  const Organisation* holder = KeyHolder();
-  const bool is_trusted = gateway_.MayTrustKeys(MonotonicMs());
+  const Organisation* holder = KeyOwner();
+  const bool is_trusted = gateway_.AreKeysCurrent(MonotonicMs());
   if (holder != nullptr && is_trusted) {
     organisation_ = holder->name;
     return true;
@@ -98,107 +100,109 @@
     organisation_.clear();
     return true;
   }
-  const bool may_have_run = SoFar() == Ran::kMaybe;
+  const bool may_have_run = ExecutionSoFar() == Execution::kMayHaveRun;
   if (holder == nullptr) {
-    ++gateway_.counters.unknown_keys;
+    ++gateway_.counters.invalid_key_refusals;
     constexpr char kReason[] = "no organisation holds this key any more";
     if (may_have_run) {
-      GiveUp(Ran::kMaybe, kReason);
+      GiveUp(Execution::kMayHaveRun, kReason);
     } else {
-      Refuse(kUnauthorised, "unknown_key", kReason, Ran::kNo, 0);
+      Refuse(kUnauthorized, "unknown_key", kReason, Execution::kNotRun, 0);
     }
     return false;
   }
-  ++gateway_.counters.old_words;
+  ++gateway_.counters.stale_configuration_refusals;
   constexpr char kReason[] = "it is not known here whether the key still holds";
   if (may_have_run) {
-    GiveUp(Ran::kMaybe, kReason);
+    GiveUp(Execution::kMayHaveRun, kReason);
   } else {
-    Refuse(kUnavailable, "old_configuration", kReason, Ran::kNo, kOldConfigurationRetryMs);
+    Refuse(kUnavailable, "old_configuration", kReason, Execution::kNotRun,
+           kOldConfigurationRetryMs);
   }
   return false;
 }
 
 // Taken once, when it is first sent. False while it is asked for, and when it answered.
-bool Exchange::MayUseQuota() {
-  if (has_quota_ || amount_ <= 0 || organisation_.empty()) return true;
-  const auto verdict = gateway_.TakeQuota(shared_from_this(), organisation_, amount_);
+bool Exchange::AcquireQuota() {
+  if (has_quota_ || quota_amount_ <= 0 || organisation_.empty()) return true;
+  const auto verdict = gateway_.TakeQuota(shared_from_this(), organisation_, quota_amount_);
   if (verdict.decision == QuotaTaker::Decision::kTaken) {
     has_quota_ = true;
     return true;
   }
   if (verdict.decision == QuotaTaker::Decision::kAsked) {
-    Arm();
+    ArmTimer();
   } else {
     RefuseOverQuota(verdict);
   }
   return false;
 }
 
-void Exchange::OnQuota(std::uint64_t ticket, const QuotaTaker::Verdict& verdict) {
-  if (ticket == share_ticket_) return OnShare(verdict);
+void Exchange::OnQuotaDecision(std::uint64_t ticket, const QuotaTaker::Verdict& verdict) {
+  if (ticket == upstream_quota_ticket_) return OnUpstreamQuotaDecision(verdict);
   quota_ticket_ = 0;
   if (is_finished_) return;
   has_quota_ = verdict.decision == QuotaTaker::Decision::kTaken;
-  if (has_quota_) return Attempt();
+  if (has_quota_) return AttemptNext();
   RefuseOverQuota(verdict);
 }
 
 // Taken at each send to an upstream that names a limit. False while it is asked for, and when
 // there is none and another upstream was chosen.
-bool Exchange::MayUseShare(const std::string& instance) {
-  const bool has_share = share_of_ == instance;
-  share_of_.clear();
+bool Exchange::AcquireUpstreamQuota(const std::string& instance) {
+  const bool has_share = upstream_quota_instance_ == instance;
+  upstream_quota_instance_.clear();
   if (has_share || !gateway_.upstreams.LimitOf(instance)) return true;
-  const auto verdict = gateway_.TakeOfUpstream(shared_from_this(), instance);
+  const auto verdict = gateway_.TakeUpstreamQuota(shared_from_this(), instance);
   if (verdict.decision == QuotaTaker::Decision::kTaken) return true;
   if (verdict.decision == QuotaTaker::Decision::kAsked) {
-    Arm();
+    ArmTimer();
     return false;
   }
-  NoteLimitReached(instance, verdict.retry_ms);
-  Attempt();
+  RecordUpstreamLimitReached(instance, verdict.retry_ms);
+  AttemptNext();
   return false;
 }
 
-void Exchange::OnShareAsked(std::uint64_t ticket, const std::string& instance) {
-  share_ticket_ = ticket;
-  share_of_ = instance;
+void Exchange::OnUpstreamQuotaRequested(std::uint64_t ticket, const std::string& instance) {
+  upstream_quota_ticket_ = ticket;
+  upstream_quota_instance_ = instance;
 }
 
-void Exchange::OnShare(const QuotaTaker::Verdict& verdict) {
-  share_ticket_ = 0;
+void Exchange::OnUpstreamQuotaDecision(const QuotaTaker::Verdict& verdict) {
+  upstream_quota_ticket_ = 0;
   if (is_finished_) return;
   if (verdict.decision != QuotaTaker::Decision::kTaken) {
-    NoteLimitReached(std::exchange(share_of_, {}), verdict.retry_ms);
+    RecordUpstreamLimitReached(std::exchange(upstream_quota_instance_, {}), verdict.retry_ms);
   }
-  Attempt();
+  AttemptNext();
 }
 
-void Exchange::NoteLimitReached(const std::string& instance, DurationMs retry_ms) {
-  ++gateway_.counters.held_by_limits;
+void Exchange::RecordUpstreamLimitReached(const std::string& instance, DurationMs retry_ms) {
+  ++gateway_.counters.rate_limited_sends;
   UpstreamTerms* terms = gateway_.upstreams.FindTerms(instance);
   if (terms == nullptr) return;
-  terms->OnLimitReached(MonotonicMs() + std::max(retry_ms, kLeastLimitRetryMs));
+  terms->OnLimitReached(MonotonicMs() + std::max(retry_ms, kMinLimitRetryMs));
 }
 
 void Exchange::RefuseOverQuota(const QuotaTaker::Verdict& verdict) {
   if (verdict.decision == QuotaTaker::Decision::kNoGiver) {
-    ++gateway_.counters.without_giver;
+    ++gateway_.counters.quota_unavailable_refusals;
     return Refuse(kUnavailable, "quota_unknown", "nobody can say what the organisation has left",
-                  Ran::kNo, verdict.retry_ms);
+                  Execution::kNotRun, verdict.retry_ms);
   }
-  ++gateway_.counters.over_quota;
-  Refuse(kTooManyRequests, "over_quota", "the organisation has used up what it may send", Ran::kNo,
-         verdict.retry_ms);
+  ++gateway_.counters.over_quota_refusals;
+  Refuse(kTooManyRequests, "over_quota", "the organisation has used up what it may send",
+         Execution::kNotRun, verdict.retry_ms);
 }
 
 // Of a request that has not run.
-void Exchange::GiveQuotaBack() {
-  if (quota_ticket_ != 0) gateway_.CancelQuota(std::exchange(quota_ticket_, 0));
-  if (share_ticket_ != 0) gateway_.CancelQuota(std::exchange(share_ticket_, 0));
-  if (!std::exchange(has_quota_, false) || SoFar() == Ran::kMaybe) return;
-  gateway_.quotas.GiveBack(organisation_, amount_, MonotonicMs());
+void Exchange::ReturnQuota() {
+  if (quota_ticket_ != 0) gateway_.CancelQuotaRequest(std::exchange(quota_ticket_, 0));
+  if (upstream_quota_ticket_ != 0)
+    gateway_.CancelQuotaRequest(std::exchange(upstream_quota_ticket_, 0));
+  if (!std::exchange(has_quota_, false) || ExecutionSoFar() == Execution::kMayHaveRun) return;
+  gateway_.quotas.GiveBack(organisation_, quota_amount_, MonotonicMs());
 }
 
 }  // namespace junctionrail::internal
--- a/src/gateway/exchange_answer.cc
+++ b/src/gateway/exchange_answer.cc
@@ -9,17 +9,17 @@
 namespace junctionrail::internal {
 namespace {
 
-constexpr DurationMs kLeastRetryAfterMs = 200;
+constexpr DurationMs kMinRetryAfterMs = 200;
 
 constexpr unsigned kRequestTimeout = 408;
-constexpr unsigned kMisdirected = 421;
-constexpr unsigned kTooMany = 429;
+constexpr unsigned kMisdirectedRequest = 421;
+constexpr unsigned kTooManyRequests = 429;
 constexpr unsigned kBadGateway = 502;
 constexpr unsigned kUnavailable = 503;
 constexpr unsigned kGatewayTimeout = 504;
 
-std::string Seconds(DurationMs ms) {
-  const DurationMs rounded = std::max(ms, kLeastRetryAfterMs);
+std::string FormatSeconds(DurationMs ms) {
+  const DurationMs rounded = std::max(ms, kMinRetryAfterMs);
   std::string text = std::to_string(rounded / 1000) + ".";
   const std::string part = std::to_string(rounded % 1000);
   return text + std::string(3 - part.size(), '0') + part;
@@ -28,160 +28,163 @@
 }  // namespace
 
 void Exchange::OnHead(UpstreamHead head) {
-  heard_at_ = MonotonicMs();
-  gateway_.upstreams.OnHeard(instance_, heard_at_);
-  gateway_.crashes.OnHeard(instance_, heard_at_);
+  last_activity_at_ = MonotonicMs();
+  gateway_.upstreams.OnHeard(instance_, last_activity_at_);
+  gateway_.crash_detector.OnDataReceived(instance_, last_activity_at_);
   // Such an answer may be that of another instance at the address.
-  if (head.status != kMisdirected) gateway_.OnAnswer(instance_, head, attempt_at_);
-  const CallHeaderNames& names = gateway_.options.names;
+  if (head.status != kMisdirectedRequest)
+    gateway_.OnUpstreamResponse(instance_, head, attempt_started_at_);
+  const HttpHeaderNames& names = gateway_.options.header_names;
   const bool is_success = head.status / 100 == 2;
   const std::string* type = FindField(head.fields, "Content-Type");
-  is_event_answer_ = is_success && route_->kind == CallKind::kStream &&
+  is_event_stream_ = is_success && route_->kind == CallKind::kStream &&
                      (type == nullptr || type->find("event-stream") != std::string::npos);
   const bool is_not_run =
-      FindField(head.fields, names.not_run) != nullptr || head.status == kMisdirected;
-  head_ = std::move(head);
-  if (is_not_run) return OnRefusal(*head_);
-  const bool is_sealed = FindField(head_->fields, names.proof) != nullptr;
+      FindField(head.fields, names.not_run) != nullptr || head.status == kMisdirectedRequest;
+  response_head_ = std::move(head);
+  if (is_not_run) return OnUpstreamRefusal(*response_head_);
+  const bool is_sealed = FindField(response_head_->fields, names.proof) != nullptr;
   if (is_success && !is_sealed) {
     call_->Cancel();
     EndAttempt(AttemptEnd::kFailed);
-    return AfterAttempt(Ran::kMaybe, true, "the answer has no seal");
+    return AfterAttempt(Execution::kMayHaveRun, true, "the answer has no seal");
   }
-  Arm();
+  ArmTimer();
 }
 
 // The upstream says that it did not run the request.
-void Exchange::OnRefusal(const UpstreamHead& head) {
-  const CallHeaderNames& names = gateway_.options.names;
+void Exchange::OnUpstreamRefusal(const UpstreamHead& head) {
+  const HttpHeaderNames& names = gateway_.options.header_names;
   const TimeMs now = MonotonicMs();
   std::string reason = "status " + std::to_string(head.status);
-  if (head.status == kMisdirected) {
+  if (head.status == kMisdirectedRequest) {
     const std::string* other = FindField(head.fields, names.instance);
-    if (other != nullptr && *other != upstream_id_) {
+    if (other != nullptr && *other != upstream_wire_id_) {
       gateway_.upstreams.OnOtherInstance(instance_);
-      gateway_.crashes.OnEnded(instance_, "other_instance", now);
+      gateway_.crash_detector.OnUpstreamEnded(instance_, "other_instance", now);
       reason = "another instance has the address";
     } else if (model_) {
       gateway_.upstreams.OnNotLoaded(instance_, *model_, now);
       reason = "the model is not loaded there";
       // It may be the right one again once the model is loaded.
-      tried_.pop_back();
+      tried_instances_.pop_back();
     }
   } else if (gateway_.upstreams.IsResting(instance_, now)) {
     reason = "it asks for a rest";
-    opens_in_ms_ = gateway_.upstreams.FindTerms(instance_)->OpensAt() - now;
+    upstream_opens_in_ms_ = gateway_.upstreams.FindTerms(instance_)->OpensAt() - now;
     // It may be the right one again after it.
-    if (model_) tried_.pop_back();
+    if (model_) tried_instances_.pop_back();
   } else if (model_ && head.status == kUnavailable) {
     reason = "full, or an order on the model is under way";
   }
   call_->Cancel();
   EndAttempt(AttemptEnd::kRefused);
-  --ran_attempts_;
-  AfterAttempt(Ran::kNo, true, reason);
+  --possibly_run_attempts_;
+  AfterAttempt(Execution::kNotRun, true, reason);
 }
 
 void Exchange::OnBody(std::string_view data) {
-  heard_at_ = MonotonicMs();
-  if (is_event_answer_) {
-    const std::string whole = events_.Take(data);
+  last_activity_at_ = MonotonicMs();
+  if (is_event_stream_) {
+    const std::string whole = events_.Feed(data);
     if (whole.empty()) return;
     const auto sink = sink_.lock();
     if (!sink) return;
-    NotePause();
-    NoteEvent();
-    if (!is_begun_) {
-      RelayEvents();
+    RecordEventPause();
+    RecordEventTime();
+    if (!is_response_begun_) {
+      RelayStreamHead();
       if (is_finished_) return;
     }
-    sink->SendPiece(whole);
-    if (sink->IsBehind() && call_) call_->Pause(true);
+    sink->SendBodyPart(whole);
+    if (sink->IsSendQueueFull() && call_) call_->Pause(true);
     return;
   }
-  body_ += data;
+  response_body_ += data;
 }
 
-void Exchange::NoteEvent() {
-  gateway_.crashes.OnHeard(instance_, event_at_);
-  if (attempt_event_at_ == 0) attempt_event_at_ = event_at_;
-  const bool is_harmless = event_at_ - attempt_event_at_ >= QuarantineLimits().harmless_after_ms;
-  if (was_alone_ && is_harmless) NoteHarmless();
+void Exchange::RecordEventTime() {
+  gateway_.crash_detector.OnDataReceived(instance_, last_event_at_);
+  if (attempt_first_event_at_ == 0) attempt_first_event_at_ = last_event_at_;
+  const bool is_harmless =
+      last_event_at_ - attempt_first_event_at_ >= QuarantineLimits().harmless_after_ms;
+  if (is_sole_suspect_ && is_harmless) ClearSuspicion();
 }
 
-void Exchange::NotePause() {
+void Exchange::RecordEventPause() {
   const TimeMs now = MonotonicMs();
-  if (event_at_ != 0) longest_pause_ms_ = std::max(longest_pause_ms_, now - event_at_);
-  event_at_ = now;
+  if (last_event_at_ != 0) longest_pause_ms_ = std::max(longest_pause_ms_, now - last_event_at_);
+  last_event_at_ = now;
 }
 
 // Begins the caller's answer with the head of the upstream's.
-void Exchange::RelayEvents() {
+void Exchange::RelayStreamHead() {
   const auto sink = sink_.lock();
   if (!sink) return;
-  is_begun_ = true;
-  first_at_ = MonotonicMs();
-  gateway_.first_answer.Add(first_at_ - request_.arrived_at);
-  if (model_) gateway_.upstreams.OnFirstEvent(*model_, first_at_ - attempt_at_);
-  sink->SendHead(head_->status, EndToEndFields(head_->fields));
-  Arm();
+  is_response_begun_ = true;
+  response_begun_at_ = MonotonicMs();
+  gateway_.first_byte_latency.Add(response_begun_at_ - request_.arrived_at);
+  if (model_) gateway_.upstreams.OnFirstEvent(*model_, response_begun_at_ - attempt_started_at_);
+  sink->SendHead(response_head_->status, EndToEndFields(response_head_->fields));
+  ArmTimer();
 }
 
 void Exchange::OnEnd() {
   call_ = nullptr;
-  NoteHarmless();
-  if (!is_event_answer_) return RelayWhole();
-  if (!events_.tail().empty()) {
+  ClearSuspicion();
+  if (!is_event_stream_) return RelayResponse();
+  if (!events_.partial_event().empty()) {
     EndAttempt(AttemptEnd::kFailed);
-    return AfterAttempt(Ran::kMaybe, true, "the stream ended within an event");
+    return AfterAttempt(Execution::kMayHaveRun, true, "the stream ended within an event");
   }
   EndAttempt(AttemptEnd::kServed);
   const auto sink = sink_.lock();
   if (!sink) return;
-  if (!is_begun_) RelayEvents();
+  if (!is_response_begun_) RelayStreamHead();
   sink->SendEnd();
-  Finish("served", head_->status);
+  Finish("served", response_head_->status);
 }
 
-void Exchange::RelayWhole() {
-  const unsigned status = head_->status;
+void Exchange::RelayResponse() {
+  const unsigned status = response_head_->status;
   const bool is_success = status / 100 == 2;
   // Such a status would promise that the request did not run; without the
   // upstream's own word nobody knows that.
   const bool is_false_promise =
-      status == kUnavailable || status == kTooMany || status == kRequestTimeout;
+      status == kUnavailable || status == kTooManyRequests || status == kRequestTimeout;
   EndAttempt(status >= 500 ? AttemptEnd::kFailed : AttemptEnd::kServed);
   if (is_false_promise) {
-    return AfterAttempt(Ran::kMaybe, true, "status " + std::to_string(status));
+    return AfterAttempt(Execution::kMayHaveRun, true, "status " + std::to_string(status));
   }
-  if (is_begun_ && !is_success) {
-    return AfterAttempt(Ran::kMaybe, true, "status " + std::to_string(status));
+  if (is_response_begun_ && !is_success) {
+    return AfterAttempt(Execution::kMayHaveRun, true, "status " + std::to_string(status));
   }
   const bool may_retry = status >= 500 && status != kGatewayTimeout;
-  if (may_retry && TryAnother(Ran::kMaybe, true)) return;
+  if (may_retry && TryRetry(Execution::kMayHaveRun, true)) return;
   const auto sink = sink_.lock();
   if (!sink) return;
-  gateway_.first_answer.Add(MonotonicMs() - request_.arrived_at);
-  sink->SendWhole(status, EndToEndFields(head_->fields), std::move(body_));
+  gateway_.first_byte_latency.Add(MonotonicMs() - request_.arrived_at);
+  sink->SendResponse(status, EndToEndFields(response_head_->fields), std::move(response_body_));
   Finish(is_success ? "served" : "passed_failure", status);
 }
 
 // An answer of our own.
-void Exchange::Refuse(unsigned status, std::string_view code, std::string_view sentence, Ran ran,
-                      DurationMs retry_after_ms) {
-  CheckInvariant(ran == Ran::kMaybe || ran_attempts_ == 0,
+void Exchange::Refuse(unsigned status, std::string_view code, std::string_view sentence,
+                      Execution ran, DurationMs retry_after_ms) {
+  CheckInvariant(ran == Execution::kMayHaveRun || possibly_run_attempts_ == 0,
                  "a request said not to have run was sent to no upstream that may have run it");
   const auto sink = sink_.lock();
   std::vector<HttpHeader> fields;
-  if (!request_id_.empty()) fields.push_back({gateway_.options.names.request_id, request_id_});
+  if (!request_id_.empty())
+    fields.push_back({gateway_.options.header_names.request_id, request_id_});
   fields.push_back({"Content-Type", "application/json"});
-  if (retry_after_ms > 0) fields.push_back({"Retry-After", Seconds(retry_after_ms)});
+  if (retry_after_ms > 0) fields.push_back({"Retry-After", FormatSeconds(retry_after_ms)});
   std::string body = "{\"error\":{\"code\":\"" + std::string(code) + "\",\"message\":\"";
   for (const char c : sentence) body.push_back(c == '"' || c == '\\' || c < ' ' ? '\'' : c);
   body += "\",\"ran\":\"";
-  body += ran == Ran::kNo ? "no" : "unknown";
+  body += ran == Execution::kNotRun ? "no" : "unknown";
   body += "\",\"retry_after_ms\":" + std::to_string(retry_after_ms) + "}}";
-  if (sink) sink->SendWhole(status, std::move(fields), std::move(body));
+  if (sink) sink->SendResponse(status, std::move(fields), std::move(body));
   Finish(code, status);
 }
 
@@ -189,23 +192,23 @@
   if (is_finished_) return;
   is_finished_ = true;
   timer_.cancel();
-  GiveQuotaBack();
-  if (is_parked_) {
-    is_parked_ = false;
-    waited_ms_ += MonotonicMs() - parked_since_;
-    gateway_.Unpark(shared_from_this());
+  ReturnQuota();
+  if (is_waiting_for_model_) {
+    is_waiting_for_model_ = false;
+    waited_ms_ += MonotonicMs() - waiting_since_;
+    gateway_.RemoveWaiting(shared_from_this());
   }
   GatewayCounters& counters = gateway_.counters;
   if (outcome == "served") {
     ++counters.served;
   } else if (outcome == "passed_failure") {
-    ++counters.passed_failures;
+    ++counters.relayed_failures;
   } else if (outcome == "broken") {
-    ++counters.broken;
+    ++counters.truncated_responses;
   } else if (outcome == "cancelled") {
     ++counters.cancelled;
   } else if (status == kBadGateway || status == kGatewayTimeout) {
-    ++counters.unknown;
+    ++counters.unknown_outcomes;
   } else {
     ++counters.refused;
   }
@@ -214,25 +217,26 @@
       routes_ ? static_cast<std::int64_t>(routes_->configuration().version) : 0;
   const std::string route = route_ != nullptr ? route_->name : "";
   const std::string model = model_ ? model_->ToString() : "";
-  gateway_.log.Write(now, outcome == "served" ? "request_served" : "request_failed",
-                     {{"request", request_id_},
-                      {"outcome", outcome},
-                      {"status", static_cast<std::int64_t>(status)},
-                      {"route", route},
-                      {"model", model},
-                      {"organisation", organisation_},
-                      {"amount", static_cast<std::int64_t>(amount_)},
-                      {"upstream", instance_},
-                      {"attempts", static_cast<std::int64_t>(sent_attempts_)},
-                      {"events", static_cast<std::int64_t>(events_.events())},
-                      {"waited_ms", waited_ms_},
-                      {"target_ms", route_ != nullptr ? route_->first_answer_ms : 0},
-                      {"first_ms", first_at_ > 0 ? first_at_ - request_.arrived_at : -1},
-                      {"pause_ms", longest_pause_ms_},
-                      {"total_ms", now - request_.arrived_at},
-                      {"listing_age_ms", listing_age_ms_},
-                      {"configuration", version},
-                      {"configuration_age_ms", gateway_.ConfigurationAge(now)}});
+  gateway_.log.Write(
+      now, outcome == "served" ? "request_served" : "request_failed",
+      {{"request", request_id_},
+       {"outcome", outcome},
+       {"status", static_cast<std::int64_t>(status)},
+       {"route", route},
+       {"model", model},
+       {"organisation", organisation_},
+       {"amount", static_cast<std::int64_t>(quota_amount_)},
+       {"upstream", instance_},
+       {"attempts", static_cast<std::int64_t>(sent_attempts_)},
+       {"events", static_cast<std::int64_t>(events_.event_count())},
+       {"waited_ms", waited_ms_},
+       {"target_ms", route_ != nullptr ? route_->first_answer_ms : 0},
+       {"first_ms", response_begun_at_ > 0 ? response_begun_at_ - request_.arrived_at : -1},
+       {"pause_ms", longest_pause_ms_},
+       {"total_ms", now - request_.arrived_at},
+       {"listing_age_ms", listing_age_ms_},
+       {"configuration", version},
+       {"configuration_age_ms", gateway_.ConfigurationAge(now)}});
 }
 
 }  // namespace junctionrail::internal
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -17,21 +17,21 @@
 using boost::asio::ip::tcp;
 using boost::system::error_code;
 
-constexpr int kBacklog = 1024;
+constexpr int kListenBacklog = 1024;
 // Idle connections and parked requests are looked at so often.
 constexpr DurationMs kTickMs = 250;
 constexpr DurationMs kStopTickMs = 50;
 // Clocks are read one after the other; less is no suspension.
-constexpr DurationMs kSuspendedMs = 200;
+constexpr DurationMs kMinSuspensionMs = 200;
 // From the last look at a configuration's age to the beginning of the upstream's work.
-constexpr DurationMs kKeyMarginMs = 400;
+constexpr DurationMs kKeyCheckMarginMs = 400;
 // What the fleet shares is divided among the entries that agents count, and
 // among so many until they do: today's sites have four to seven.
-constexpr int kEntriesAssumed = 8;
-constexpr int kLeastConnections = 8;
+constexpr int kAssumedEntries = 8;
+constexpr int kMinConnections = 8;
 // A caller that was told to come back does so within seconds; until then the
 // load it needs stays wanted.
-constexpr DurationMs kTurnedAwayMs = 3000;
+constexpr DurationMs kRefusedWaitMs = 3000;
 // Later than any moment of a process.
 constexpr TimeMs kNeverLate = 1LL << 60;
 
@@ -73,26 +73,26 @@
       options(std::move(gateway_options)),
       log(event_log),
       upstreams(options.routing),
-      retries(options.retries),
-      pool(io, options.names.request_id),
-      crashes(io, quarantine,
-              [this](const UpstreamEnd& end, std::string_view evidence) {
-                OnUpstreamEnded(end, evidence);
-              }),
-      quotas(options.entry),
+      retry_budget(options.retry_budget),
+      pool(io, options.header_names.request_id),
+      crash_detector(io, quarantine,
+                     [this](const UpstreamEnd& end, std::string_view evidence) {
+                       OnUpstreamEnded(end, evidence);
+                     }),
+      quotas(options.entry_id),
       quota_timer(io),
       acceptor(io),
-      tick(io) {}
+      tick_timer(io) {}
 
 Result<std::uint16_t, NetError> Gateway::Impl::Listen() {
   error_code ec;
-  const auto address = boost::asio::ip::make_address(options.callers.address, ec);
-  const tcp::endpoint endpoint(address, options.callers.port);
+  const auto address = boost::asio::ip::make_address(options.listen_endpoint.address, ec);
+  const tcp::endpoint endpoint(address, options.listen_endpoint.port);
   if (!ec) acceptor.open(endpoint.protocol(), ec);
   if (!ec) acceptor.set_option(tcp::acceptor::reuse_address(true), ec);
   if (!ec) acceptor.bind(endpoint, ec);
-  if (!ec) acceptor.listen(kBacklog, ec);
-  if (ec) return NetError{options.callers.ToString() + ": " + ec.message()};
+  if (!ec) acceptor.listen(kListenBacklog, ec);
+  if (ec) return NetError{options.listen_endpoint.ToString() + ": " + ec.message()};
   Accept();
   Tick();
   return acceptor.local_endpoint().port();
@@ -109,32 +109,32 @@
       auto connection = std::make_shared<internal::CallerConnection>(*self, std::move(socket));
       self->connections.insert(connection);
       connection->Start();
-      if (self->is_stopping) connection->Leave(false);
+      if (self->is_stopping) connection->Drain(false);
     }
     self->Accept();
   });
 }
 
 void Gateway::Impl::Tick() {
-  tick.expires_after(std::chrono::milliseconds(is_stopping ? kStopTickMs : kTickMs));
-  tick.async_wait([self = shared_from_this()](error_code ec) {
+  tick_timer.expires_after(std::chrono::milliseconds(is_stopping ? kStopTickMs : kTickMs));
+  tick_timer.async_wait([self = shared_from_this()](error_code ec) {
     if (ec) return;
-    self->NoteSuspension();
+    self->CheckForSuspension();
     const TimeMs now = MonotonicMs();
-    self->retries.SetEntries(std::max(kEntriesAssumed, self->upstreams.Entries(now)));
+    self->retry_budget.SetEntries(std::max(kAssumedEntries, self->upstreams.Entries(now)));
     self->pool.CloseIdle(now, [&](const std::string& instance) {
       return self->upstreams.Find(instance) != nullptr;
     });
-    self->WakeParked();
-    self->crashes.Expire(now);
+    self->RetryWaiting();
+    self->crash_detector.Expire(now);
     self->quarantine.Expire(now);
-    self->NoteRefused();
+    self->ReportQuarantined();
     self->quotas.SetEntries(self->upstreams.Entries(now), now);
     self->quotas.KeepUpstreams(
         [&](const std::string& instance) { return self->upstreams.LimitOf(instance).has_value(); });
     self->SendQuotaMessages();
     if (self->is_stopping) {
-      self->FinishStop();
+      self->ContinueStop();
       if (!self->on_stopped) return;
     }
     self->Tick();
@@ -143,40 +143,40 @@
 
 // Timers stood still meanwhile: those of requests are set anew, so that one whose time is over
 // is answered at once, and what is believed is asked for.
-void Gateway::Impl::NoteSuspension() {
-  const DurationMs away_ms = suspension.TakeAwayMs();
-  if (away_ms < kSuspendedMs) return;
+void Gateway::Impl::CheckForSuspension() {
+  const DurationMs away_ms = suspension_watch.TakeAwayMs();
+  if (away_ms < kMinSuspensionMs) return;
   log.Write(MonotonicMs(), "resumed", {{"away_ms", away_ms}});
-  if (on_resumed) on_resumed();
+  if (on_vm_resumed) on_vm_resumed();
   const auto all = connections;
-  for (const auto& it : all) it->OnResumed();
+  for (const auto& it : all) it->OnVmResumed();
 }
 
 void Gateway::Impl::Stop(DurationMs most_ms, std::function<void()> done) {
   if (is_stopping) return;
   is_stopping = true;
-  stop_since = MonotonicMs();
-  stop_by = stop_since + most_ms;
+  stop_started_at = MonotonicMs();
+  stop_deadline = stop_started_at + most_ms;
   on_stopped = std::move(done);
   const auto all = connections;
-  for (const auto& it : all) it->Leave(false);
+  for (const auto& it : all) it->Drain(false);
   Tick();
 }
 
 // Until the balancer has noticed, new connections are served. Then none is
 // taken, as a request taken late could not be finished before the end.
-void Gateway::Impl::FinishStop() {
+void Gateway::Impl::ContinueStop() {
   const TimeMs now = MonotonicMs();
-  if (now - stop_since < options.balancer_ms && now < stop_by) return;
+  if (now - stop_started_at < options.balancer_delay_ms && now < stop_deadline) return;
   error_code ec;
   acceptor.close(ec);
-  const bool is_late = now >= stop_by;
+  const bool is_late = now >= stop_deadline;
   const auto all = connections;
   for (const auto& it : all) {
     if (is_late) {
-      it->Drop();
+      it->ForceClose();
     } else {
-      it->Leave(true);
+      it->Drain(true);
     }
   }
   if (!connections.empty() || !on_stopped) return;
@@ -184,50 +184,53 @@
   std::exchange(on_stopped, nullptr)();
 }
 
-void Gateway::Impl::Park(const std::shared_ptr<internal::Exchange>& exchange) {
-  parked.insert(exchange);
+void Gateway::Impl::AddWaiting(const std::shared_ptr<internal::Exchange>& exchange) {
+  waiting_exchanges.insert(exchange);
 }
 
-void Gateway::Impl::Unpark(const std::shared_ptr<internal::Exchange>& exchange) {
-  parked.erase(exchange);
+void Gateway::Impl::RemoveWaiting(const std::shared_ptr<internal::Exchange>& exchange) {
+  waiting_exchanges.erase(exchange);
 }
 
-void Gateway::Impl::WakeParked() { Wake({parked.begin(), parked.end()}); }
+void Gateway::Impl::RetryWaiting() {
+  RetryInOrder({waiting_exchanges.begin(), waiting_exchanges.end()});
+}
 
 // Those whose model is up at one of the engines that changed, or that asked one of
 // them. The others look again at the next tick: views of a large fleet come so often that
 // looking with each would take most of an entry's processor time.
-void Gateway::Impl::WakeConcerned() {
-  const std::set<std::string> instances = std::exchange(changed, {});
+void Gateway::Impl::RetryAffected() {
+  const std::set<std::string> instances = std::exchange(changed_instances, {});
   std::vector<std::shared_ptr<internal::Exchange>> concerned;
-  for (const auto& it : parked) {
+  for (const auto& it : waiting_exchanges) {
     const bool is_concerned =
-        instances.count(it->asked()) > 0 ||
+        instances.count(it->asked_instance()) > 0 ||
         std::any_of(instances.begin(), instances.end(), [&](const std::string& instance) {
           return upstreams.HoldsNow(instance, *it->model(), MonotonicMs());
         });
     if (is_concerned) concerned.push_back(it);
   }
-  Wake(std::move(concerned));
+  RetryInOrder(std::move(concerned));
 }
 
-void Gateway::Impl::Wake(std::vector<std::shared_ptr<internal::Exchange>> all) {
+void Gateway::Impl::RetryInOrder(std::vector<std::shared_ptr<internal::Exchange>> all) {
   // Most urgent first, then longest waiting.
   std::sort(all.begin(), all.end(), [](const auto& a, const auto& b) {
     if (a->priority() != b->priority()) return a->priority() < b->priority();
-    return a->parked_since() < b->parked_since();
+    return a->waiting_since() < b->waiting_since();
   });
-  for (const auto& it : all) it->Retry();
+  for (const auto& it : all) it->RetrySelection();
 }
 
 void Gateway::Impl::ApplyListing(const UpstreamListing& listing) {
   const TimeMs now = MonotonicMs();
-  const bool is_first = listed_as_of == 0;
-  listed_as_of = listing.as_of;
+  const bool is_first = listing_as_of == 0;
+  listing_as_of = listing.as_of;
   const auto changes = upstreams.ApplyListing(listing.records, now);
   for (const auto& it : changes) {
-    if (it.news == ListingNews::kLeaving) crashes.OnLeaving(it.instance);
-    if (it.news == ListingNews::kGone) crashes.OnEnded(it.instance, "record_gone", now);
+    if (it.news == ListingNews::kLeaving) crash_detector.OnUpstreamLeaving(it.instance);
+    if (it.news == ListingNews::kGone)
+      crash_detector.OnUpstreamEnded(it.instance, "record_gone", now);
     // All of them are new in the first one.
     if (is_first && it.news == ListingNews::kListed) continue;
     log.Write(
@@ -236,8 +239,8 @@
   }
 }
 
-void Gateway::Impl::OnAnswer(const std::string& instance, const internal::UpstreamHead& head,
-                             TimeMs sent_at) {
+void Gateway::Impl::OnUpstreamResponse(const std::string& instance,
+                                       const internal::UpstreamHead& head, TimeMs sent_at) {
   UpstreamTerms* terms = upstreams.FindTerms(instance);
   if (!options.read_notice || terms == nullptr) return;
   const TimeMs now = MonotonicMs();
@@ -251,15 +254,15 @@
   if (tells_limit && terms->OnLimit(notice.limit_per_s, sent_at, now)) {
     log.Write(now, "upstream_limit",
               {{"upstream", instance}, {"per_s", FormatLimit(notice.limit_per_s)}});
-    LimitUpstream(instance, notice.limit_per_s);
+    SetUpstreamLimit(instance, notice.limit_per_s);
   }
   terms->OnRest(notice.rest_ms, sent_at, now);
   if (notice.rest_ms > 0) {
-    ++counters.rests_asked;
+    ++counters.backoff_requests;
     log.Write(now, "upstream_rest", {{"upstream", instance}, {"rest_ms", notice.rest_ms}});
   }
   if (notice.is_leaving && upstreams.OnSaidLeaving(instance, now)) {
-    crashes.OnLeaving(instance);
+    crash_detector.OnUpstreamLeaving(instance);
     log.Write(now, "upstream_says_leaving", {{"upstream", instance}});
   }
 }
@@ -283,49 +286,50 @@
              {"count", static_cast<std::int64_t>(end.suspects.size())},
              {"suspects", suspects}});
   quarantine.Add(end, MonotonicMs());
-  NoteRefused();
+  ReportQuarantined();
   if (on_upstream_end) on_upstream_end(end);
-  WakeSuspects();
+  RetrySuspects();
 }
 
 void Gateway::Impl::AddUpstreamEnd(const UpstreamEnd& end) {
   const TimeMs now = MonotonicMs();
-  crashes.OnToldOf(end, now);
+  crash_detector.OnEndReported(end, now);
   if (!quarantine.Add(end, now)) return;
-  NoteRefused();
-  WakeSuspects();
+  ReportQuarantined();
+  RetrySuspects();
 }
 
-void Gateway::Impl::NoteRefused() {
+void Gateway::Impl::ReportQuarantined() {
   for (const auto& it : quarantine.TakeRefused()) {
     log.Write(MonotonicMs(), "request_quarantined", {{"digest", it.ToString()}});
-    if (on_request_refused) on_request_refused(it);
+    if (on_request_quarantined) on_request_quarantined(it);
   }
 }
 
-void Gateway::Impl::WakeSuspects() {
-  if (parked.empty()) return;
+void Gateway::Impl::RetrySuspects() {
+  if (waiting_exchanges.empty()) return;
   // Not from within an exchange's own call.
   boost::asio::post(io, [self = shared_from_this()] {
     std::vector<std::shared_ptr<internal::Exchange>> suspects;
-    for (const auto& it : self->parked) {
+    for (const auto& it : self->waiting_exchanges) {
       if (it->IsSuspect()) suspects.push_back(it);
     }
-    Wake(std::move(suspects));
+    RetryInOrder(std::move(suspects));
   });
 }
 
 DurationMs Gateway::Impl::ListingAge(TimeMs now) const {
-  return listed_as_of == 0 ? -1 : now - listed_as_of;
+  return listing_as_of == 0 ? -1 : now - listing_as_of;
 }
 
 DurationMs Gateway::Impl::ConfigurationAge(TimeMs now) const {
-  return confirmed_at == 0 ? -1 : now - confirmed_at;
+  return configuration_confirmed_at == 0 ? -1 : now - configuration_confirmed_at;
 }
 
-bool Gateway::Impl::MayTrustKeys(TimeMs now) const {
-  if (options.revoke_ms == 0) return true;
-  return confirmed_at != 0 && now - confirmed_at <= options.revoke_ms - kKeyMarginMs;
+bool Gateway::Impl::AreKeysCurrent(TimeMs now) const {
+  if (options.key_revocation_ms == 0) return true;
+  return configuration_confirmed_at != 0 &&
+         now - configuration_confirmed_at <= options.key_revocation_ms - kKeyCheckMarginMs;
 }
 
 QuotaTaker::Verdict Gateway::Impl::TakeQuota(const std::shared_ptr<internal::Exchange>& exchange,
@@ -333,52 +337,52 @@
   const std::uint64_t ticket = ++last_ticket;
   const auto verdict = quotas.Take(organisation, amount, ticket, MonotonicMs());
   if (verdict.decision != QuotaTaker::Decision::kAsked) return verdict;
-  exchange->OnQuotaAsked(ticket);
-  AwaitGiver(exchange, ticket);
+  exchange->OnQuotaRequested(ticket);
+  AwaitQuotaDecision(exchange, ticket);
   return verdict;
 }
 
-QuotaTaker::Verdict Gateway::Impl::TakeOfUpstream(
+QuotaTaker::Verdict Gateway::Impl::TakeUpstreamQuota(
     const std::shared_ptr<internal::Exchange>& exchange, const std::string& instance) {
   const std::uint64_t ticket = ++last_ticket;
   const auto verdict = quotas.TakeOfUpstream(instance, ticket, MonotonicMs());
   if (verdict.decision != QuotaTaker::Decision::kAsked) return verdict;
-  exchange->OnShareAsked(ticket, instance);
-  AwaitGiver(exchange, ticket);
+  exchange->OnUpstreamQuotaRequested(ticket, instance);
+  AwaitQuotaDecision(exchange, ticket);
   return verdict;
 }
 
-void Gateway::Impl::AwaitGiver(const std::shared_ptr<internal::Exchange>& exchange,
-                               std::uint64_t ticket) {
-  asking.emplace(ticket, exchange);
-  if (std::exchange(is_sending_quotas, true)) return;
+void Gateway::Impl::AwaitQuotaDecision(const std::shared_ptr<internal::Exchange>& exchange,
+                                       std::uint64_t ticket) {
+  pending_quota_requests.emplace(ticket, exchange);
+  if (std::exchange(is_quota_send_scheduled, true)) return;
   // All requests that come with the same wake-up go into one question.
   boost::asio::post(io, [self = shared_from_this()] {
-    self->is_sending_quotas = false;
+    self->is_quota_send_scheduled = false;
     self->SendQuotaMessages();
   });
 }
 
-void Gateway::Impl::LimitUpstream(const std::string& instance, std::optional<double> per_s) {
+void Gateway::Impl::SetUpstreamLimit(const std::string& instance, std::optional<double> per_s) {
   auto outcomes = quotas.LimitUpstream(instance, per_s, MonotonicMs());
   // Not from within an exchange's own call.
   boost::asio::post(io, [self = shared_from_this(), outcomes = std::move(outcomes)] {
-    self->TellQuotas(outcomes);
+    self->DeliverQuotaOutcomes(outcomes);
     self->SendQuotaMessages();
   });
 }
 
-void Gateway::Impl::CancelQuota(std::uint64_t ticket) {
-  if (asking.erase(ticket) > 0) quotas.Cancel(ticket);
+void Gateway::Impl::CancelQuotaRequest(std::uint64_t ticket) {
+  if (pending_quota_requests.erase(ticket) > 0) quotas.Cancel(ticket);
 }
 
-void Gateway::Impl::TellQuotas(const std::vector<QuotaTaker::Outcome>& outcomes) {
+void Gateway::Impl::DeliverQuotaOutcomes(const std::vector<QuotaTaker::Outcome>& outcomes) {
   for (const auto& it : outcomes) {
-    const auto found = asking.find(it.ticket);
-    if (found == asking.end()) continue;
+    const auto found = pending_quota_requests.find(it.ticket);
+    if (found == pending_quota_requests.end()) continue;
     const auto exchange = found->second.lock();
-    asking.erase(found);
-    if (exchange) exchange->OnQuota(it.ticket, it.verdict);
+    pending_quota_requests.erase(found);
+    if (exchange) exchange->OnQuotaDecision(it.ticket, it.verdict);
   }
 }
 
@@ -390,35 +394,35 @@
   if (next == 0) return;
   const DurationMs delay = std::max<DurationMs>(1, next - MonotonicMs());
   quota_timer.After(delay, [self = shared_from_this()] {
-    self->TellQuotas(self->quotas.Expire(MonotonicMs()));
+    self->DeliverQuotaOutcomes(self->quotas.Expire(MonotonicMs()));
     self->SendQuotaMessages();
   });
 }
 
-UpstreamTable::Waiting Gateway::Impl::WaitingOf(const internal::Exchange& exchange, TimeMs since) {
+UpstreamTable::Waiting Gateway::Impl::ToWaiting(const internal::Exchange& exchange, TimeMs since) {
   UpstreamTable::Waiting waiting;
   waiting.ref = *exchange.model();
   waiting.service = exchange.service();
-  waiting.asked = exchange.asked();
+  waiting.asked = exchange.asked_instance();
   waiting.priority = exchange.priority();
   waiting.since = since;
-  waiting.late_at = exchange.late_at();
+  waiting.late_at = exchange.first_byte_due_at();
   waiting.count = 1;
   return waiting;
 }
 
-void Gateway::Impl::NoteTurnedAway(const internal::Exchange& exchange) {
-  turned_away.push_back(WaitingOf(exchange, MonotonicMs()));
+void Gateway::Impl::RecordRefusedWait(const internal::Exchange& exchange) {
+  refused_waits.push_back(ToWaiting(exchange, MonotonicMs()));
 }
 
-std::vector<UpstreamTable::Waiting> Gateway::Impl::WaitingModels() {
+std::vector<UpstreamTable::Waiting> Gateway::Impl::ModelDemands() {
   const TimeMs now = MonotonicMs();
-  turned_away.erase(
-      std::remove_if(turned_away.begin(), turned_away.end(),
-                     [now](const auto& it) { return now - it.since > kTurnedAwayMs; }),
-      turned_away.end());
-  std::vector<UpstreamTable::Waiting> each = turned_away;
-  for (const auto& it : parked) each.push_back(WaitingOf(*it, it->parked_since()));
+  refused_waits.erase(
+      std::remove_if(refused_waits.begin(), refused_waits.end(),
+                     [now](const auto& it) { return now - it.since > kRefusedWaitMs; }),
+      refused_waits.end());
+  std::vector<UpstreamTable::Waiting> each = refused_waits;
+  for (const auto& it : waiting_exchanges) each.push_back(ToWaiting(*it, it->waiting_since()));
   std::map<ModelRef, UpstreamTable::Waiting> by_model;
   for (auto& it : each) {
     const bool is_late = it.late_at <= now;
@@ -439,12 +443,12 @@
   return all;
 }
 
-int Gateway::Impl::MostConnections(const UpstreamRecord& upstream) const {
-  if (!routes) return kLeastConnections;
+int Gateway::Impl::MaxConnections(const UpstreamRecord& upstream) const {
+  if (!routes) return kMinConnections;
   const ServiceSpec* service = routes->configuration().FindService(upstream.service);
   if (service == nullptr || service->max_connections <= 0) return 0;
-  const int entries = std::max(kEntriesAssumed, upstreams.Entries(MonotonicMs()));
-  return std::max(kLeastConnections, service->max_connections / entries);
+  const int entries = std::max(kAssumedEntries, upstreams.Entries(MonotonicMs()));
+  return std::max(kMinConnections, service->max_connections / entries);
 }
 
 Gateway::Gateway(boost::asio::io_context& io, GatewayOptions options, EventLog& log)
@@ -465,18 +469,18 @@
   const OrganisationTable organisations = configuration.organisations.value_or(OrganisationTable());
   impl_->quotas.SetOrganisations(organisations.all(), configuration.version, MonotonicMs());
   impl_->routes = std::make_shared<const RouteTable>(std::move(configuration));
-  if (impl_->parked.empty()) return;
+  if (impl_->waiting_exchanges.empty()) return;
   // A key may be gone for which a request waits.
-  boost::asio::post(impl_->io, [impl = impl_] { impl->WakeParked(); });
+  boost::asio::post(impl_->io, [impl = impl_] { impl->RetryWaiting(); });
 }
 
-void Gateway::SetRevokeMs(DurationMs revoke_ms) { impl_->options.revoke_ms = revoke_ms; }
+void Gateway::SetRevokeMs(DurationMs revoke_ms) { impl_->options.key_revocation_ms = revoke_ms; }
 
 void Gateway::ConfirmConfiguration(TimeMs as_of) {
-  impl_->confirmed_at = std::max(impl_->confirmed_at, as_of);
+  impl_->configuration_confirmed_at = std::max(impl_->configuration_confirmed_at, as_of);
 }
 
-void Gateway::SetRetries(RetryBudget::Options options) { impl_->retries.SetOptions(options); }
+void Gateway::SetRetries(RetryBudget::Options options) { impl_->retry_budget.SetOptions(options); }
 
 void Gateway::SetPolicy(const PolicySettings& policy) { impl_->upstreams.SetPolicy(policy); }
 
@@ -484,11 +488,11 @@
 
 void Gateway::ApplyView(const EngineView& view) {
   impl_->upstreams.ApplyView(view, MonotonicMs());
-  if (impl_->parked.empty()) return;
-  const bool is_waking = !impl_->changed.empty();
-  impl_->changed.insert(view.instance);
+  if (impl_->waiting_exchanges.empty()) return;
+  const bool is_waking = !impl_->changed_instances.empty();
+  impl_->changed_instances.insert(view.instance);
   if (is_waking) return;
-  boost::asio::post(impl_->io, [impl = impl_] { impl->WakeConcerned(); });
+  boost::asio::post(impl_->io, [impl = impl_] { impl->RetryAffected(); });
 }
 
 void Gateway::ForgetView(const std::string& instance) { impl_->upstreams.ForgetView(instance); }
@@ -501,28 +505,28 @@
 const UpstreamTable& Gateway::upstreams() const { return impl_->upstreams; }
 
 std::map<std::string, AgentDemand> Gateway::Demands() {
-  return impl_->upstreams.Demands(impl_->WaitingModels(), MonotonicMs());
+  return impl_->upstreams.Demands(impl_->ModelDemands(), MonotonicMs());
 }
 
-std::vector<ModelDemand> Gateway::WantedFrom(const std::string& instance) {
-  return impl_->upstreams.WantedFrom(instance, impl_->WaitingModels(), MonotonicMs());
+std::vector<ModelDemand> Gateway::WaitingDemandFor(const std::string& instance) {
+  return impl_->upstreams.WantedFrom(instance, impl_->ModelDemands(), MonotonicMs());
 }
 
 void Gateway::OnNewDemand(std::function<void(const std::string& instance)> call) {
   impl_->on_new_demand = std::move(call);
 }
 
-void Gateway::OnResumed(std::function<void()> call) { impl_->on_resumed = std::move(call); }
+void Gateway::OnVmResumed(std::function<void()> call) { impl_->on_vm_resumed = std::move(call); }
 void Gateway::OnUpstreamEnd(std::function<void(const UpstreamEnd&)> call) {
   impl_->on_upstream_end = std::move(call);
 }
-void Gateway::OnRequestRefused(std::function<void(const RequestDigest&)> call) {
-  impl_->on_request_refused = std::move(call);
+void Gateway::OnRequestQuarantined(std::function<void(const RequestDigest&)> call) {
+  impl_->on_request_quarantined = std::move(call);
 }
 void Gateway::AddUpstreamEnd(const UpstreamEnd& end) { impl_->AddUpstreamEnd(end); }
-void Gateway::RefuseRequest(const RequestDigest& digest) {
+void Gateway::QuarantineRequest(const RequestDigest& digest) {
   impl_->quarantine.Refuse(digest, MonotonicMs());
-  impl_->WakeSuspects();
+  impl_->RetrySuspects();
 }
 bool Gateway::ReleaseRequest(const RequestDigest& digest) {
   return impl_->quarantine.Release(digest, MonotonicMs());
@@ -532,11 +536,11 @@
 }
 void Gateway::SetQuotaGivers(std::vector<QuotaTaker::Giver> givers) {
   impl_->quotas.SetGivers(std::move(givers), MonotonicMs());
-  impl_->TellQuotas(impl_->quotas.Expire(MonotonicMs()));
+  impl_->DeliverQuotaOutcomes(impl_->quotas.Expire(MonotonicMs()));
   impl_->SendQuotaMessages();
 }
 void Gateway::ApplyQuotaGrant(const QuotaGrant& grant) {
-  impl_->TellQuotas(impl_->quotas.OnGrant(grant, MonotonicMs()));
+  impl_->DeliverQuotaOutcomes(impl_->quotas.OnGrant(grant, MonotonicMs()));
   impl_->SendQuotaMessages();
 }
 void Gateway::OnQuotaLinkClosed(const std::string& instance) { impl_->quotas.OnClosed(instance); }
@@ -544,11 +548,11 @@
 const QuarantineTable& Gateway::quarantine() const { return impl_->quarantine; }
 
 const GatewayCounters& Gateway::counters() const {
-  impl_->counters.surplus_answers = impl_->pool.counters().surplus_answers;
-  impl_->counters.upstream_connections = impl_->pool.counters().opened;
+  impl_->counters.surplus_responses = impl_->pool.counters().surplus_responses;
+  impl_->counters.upstream_connections = impl_->pool.counters().opened_connections;
   return impl_->counters;
 }
-const LatencyHistogram& Gateway::first_answer() const { return impl_->first_answer; }
+const LatencyHistogram& Gateway::first_byte_latency() const { return impl_->first_byte_latency; }
 const LatencyHistogram& Gateway::listing_age() const { return impl_->listing_age; }
 DurationMs Gateway::ConfigurationAge() const { return impl_->ConfigurationAge(MonotonicMs()); }
 
--- a/src/gateway/gateway_impl.h
+++ b/src/gateway/gateway_impl.h
@@ -11,7 +11,7 @@
 #include <string>
 #include <vector>
 
-#include "crash_watch.h"
+#include "crash_detector.h"
 #include "junctionrail/gateway.h"
 #include "upstream_pool.h"
 
@@ -30,7 +30,7 @@
   void Stop(DurationMs most_ms, std::function<void()> done);
   void Accept();
   void Tick();
-  void FinishStop();
+  void ContinueStop();
 
   void ApplyListing(const UpstreamListing& listing);
   // Since the reading of the list began on which choices rest; -1: not known.
@@ -38,80 +38,82 @@
 
   // Since the configuration is known to have been the newest; -1: it never was.
   DurationMs ConfigurationAge(TimeMs now) const;
-  bool MayTrustKeys(TimeMs now) const;
+  bool AreKeysCurrent(TimeMs now) const;
 
   // Requests that wait for a giver's word on their organisation's quota.
   QuotaTaker::Verdict TakeQuota(const std::shared_ptr<internal::Exchange>& exchange,
                                 const std::string& organisation, double amount);
   // The same for what an upstream that names a limit takes.
-  QuotaTaker::Verdict TakeOfUpstream(const std::shared_ptr<internal::Exchange>& exchange,
-                                     const std::string& instance);
-  void AwaitGiver(const std::shared_ptr<internal::Exchange>& exchange, std::uint64_t ticket);
-  void LimitUpstream(const std::string& instance, std::optional<double> per_s);
-  void CancelQuota(std::uint64_t ticket);
-  void TellQuotas(const std::vector<QuotaTaker::Outcome>& outcomes);
+  QuotaTaker::Verdict TakeUpstreamQuota(const std::shared_ptr<internal::Exchange>& exchange,
+                                        const std::string& instance);
+  void AwaitQuotaDecision(const std::shared_ptr<internal::Exchange>& exchange,
+                          std::uint64_t ticket);
+  void SetUpstreamLimit(const std::string& instance, std::optional<double> per_s);
+  void CancelQuotaRequest(std::uint64_t ticket);
+  void DeliverQuotaOutcomes(const std::vector<QuotaTaker::Outcome>& outcomes);
   void SendQuotaMessages();
 
   // Requests that wait for a model.
-  void Park(const std::shared_ptr<internal::Exchange>& exchange);
-  void Unpark(const std::shared_ptr<internal::Exchange>& exchange);
-  void WakeParked();
-  void WakeConcerned();
-  static void Wake(std::vector<std::shared_ptr<internal::Exchange>> all);
-  std::vector<UpstreamTable::Waiting> WaitingModels();
-  static UpstreamTable::Waiting WaitingOf(const internal::Exchange& exchange, TimeMs since);
+  void AddWaiting(const std::shared_ptr<internal::Exchange>& exchange);
+  void RemoveWaiting(const std::shared_ptr<internal::Exchange>& exchange);
+  void RetryWaiting();
+  void RetryAffected();
+  static void RetryInOrder(std::vector<std::shared_ptr<internal::Exchange>> all);
+  std::vector<UpstreamTable::Waiting> ModelDemands();
+  static UpstreamTable::Waiting ToWaiting(const internal::Exchange& exchange, TimeMs since);
   // A request could not wait for its model; others will ask for it.
-  void NoteTurnedAway(const internal::Exchange& exchange);
+  void RecordRefusedWait(const internal::Exchange& exchange);
 
   // What the answer to a request sent to `instance` at `sent_at` says beside its body.
-  void OnAnswer(const std::string& instance, const internal::UpstreamHead& head, TimeMs sent_at);
+  void OnUpstreamResponse(const std::string& instance, const internal::UpstreamHead& head,
+                          TimeMs sent_at);
 
   void OnUpstreamEnded(const UpstreamEnd& end, std::string_view evidence);
   void AddUpstreamEnd(const UpstreamEnd& end);
-  void NoteRefused();
+  void ReportQuarantined();
   // Those that wait for an upstream without another suspect, or may be refused now.
-  void WakeSuspects();
-  void NoteSuspension();
+  void RetrySuspects();
+  void CheckForSuspension();
 
   // Connections of ours that one upstream may have.
-  int MostConnections(const UpstreamRecord& upstream) const;
+  int MaxConnections(const UpstreamRecord& upstream) const;
 
   boost::asio::io_context& io;
   GatewayOptions options;
   EventLog& log;
   std::shared_ptr<const RouteTable> routes;
   UpstreamTable upstreams;
-  RetryBudget retries;
+  RetryBudget retry_budget;
   internal::UpstreamPool pool;
   QuarantineTable quarantine;
   Probation probation;
-  internal::CrashWatch crashes;
+  internal::CrashDetector crash_detector;
   QuotaTaker quotas;
-  std::map<std::uint64_t, std::weak_ptr<internal::Exchange>> asking;  // By ticket.
+  std::map<std::uint64_t, std::weak_ptr<internal::Exchange>> pending_quota_requests;  // By ticket.
   std::uint64_t last_ticket = 0;
-  bool is_sending_quotas = false;
+  bool is_quota_send_scheduled = false;
   std::function<void(const QuotaTaker::Message&)> on_quota_message;
   Timer quota_timer;
-  TimeMs confirmed_at = 0;  // The configuration was the newest then; 0: never known.
+  TimeMs configuration_confirmed_at = 0;  // The configuration was the newest then; 0: never known.
   GatewayCounters counters;
-  LatencyHistogram first_answer;
+  LatencyHistogram first_byte_latency;
   LatencyHistogram listing_age;
-  TimeMs listed_as_of = 0;  // 0: never listed, or by another entry's word.
-  std::set<std::shared_ptr<internal::Exchange>> parked;
-  std::vector<UpstreamTable::Waiting> turned_away;  // Of the last seconds; `since` is when.
+  TimeMs listing_as_of = 0;  // 0: never listed, or by another entry's word.
+  std::set<std::shared_ptr<internal::Exchange>> waiting_exchanges;
+  std::vector<UpstreamTable::Waiting> refused_waits;  // Of the last seconds; `since` is when.
   std::set<std::shared_ptr<internal::CallerConnection>> connections;
   std::function<void(const std::string& instance)> on_new_demand;
   std::function<void(const UpstreamEnd&)> on_upstream_end;
-  std::function<void(const RequestDigest&)> on_request_refused;
+  std::function<void(const RequestDigest&)> on_request_quarantined;
   bool is_stopping = false;
-  TimeMs stop_since = 0;
-  TimeMs stop_by = 0;
+  TimeMs stop_started_at = 0;
+  TimeMs stop_deadline = 0;
   std::function<void()> on_stopped;
-  SuspensionWatch suspension;
-  std::function<void()> on_resumed;
+  SuspensionWatch suspension_watch;
+  std::function<void()> on_vm_resumed;
   boost::asio::ip::tcp::acceptor acceptor;
-  boost::asio::steady_timer tick;
-  std::set<std::string> changed;  // Instances whose views came since the last wake.
+  boost::asio::steady_timer tick_timer;
+  std::set<std::string> changed_instances;  // Instances whose views came since the last wake.
 };
 
 }  // namespace junctionrail
--- a/src/gateway/http_text.cc
+++ b/src/gateway/http_text.cc
@@ -18,7 +18,7 @@
                                                                 "transfer-encoding",
                                                                 "upgrade",
                                                                 "content-length"};
-constexpr std::size_t kMostDigits = 15;
+constexpr std::size_t kMaxDigits = 15;
 
 std::string_view Trim(std::string_view text) {
   while (!text.empty() && (text.front() == ' ' || text.front() == '\t')) text.remove_prefix(1);
@@ -26,7 +26,7 @@
   return text;
 }
 
-bool ListHolds(std::string_view list, std::string_view token) {
+bool ListContains(std::string_view list, std::string_view token) {
   while (!list.empty()) {
     const std::size_t comma = list.find(',');
     if (EqualsNoCase(Trim(list.substr(0, comma)), token)) return true;
@@ -62,7 +62,7 @@
     for (const auto name : kConnectionFields) is_dropped |= EqualsNoCase(it.name, name);
     for (const auto& other : fields) {
       const bool is_connection = EqualsNoCase(other.name, "connection");
-      if (is_connection) is_dropped |= ListHolds(other.value, it.name);
+      if (is_connection) is_dropped |= ListContains(other.value, it.name);
     }
     if (!is_dropped) kept.push_back(it);
   }
@@ -90,8 +90,8 @@
   text->append(buf, end.ptr).append("\r\n").append(data).append("\r\n");
 }
 
-bool ParseWhole(std::string_view text, std::int64_t* value) {
-  if (text.empty() || text.size() > kMostDigits) return false;
+bool ParseWholeNumber(std::string_view text, std::int64_t* value) {
+  if (text.empty() || text.size() > kMaxDigits) return false;
   const auto end = text.data() + text.size();
   const auto parsed = std::from_chars(text.data(), end, *value);
   return parsed.ec == std::errc() && parsed.ptr == end && *value >= 0;
@@ -102,8 +102,8 @@
   if (comma == std::string_view::npos) return std::nullopt;
   std::int64_t prompt = 0;
   std::int64_t most = 0;
-  const bool is_usage = ParseWhole(Trim(text.substr(0, comma)), &prompt) &&
-                        ParseWhole(Trim(text.substr(comma + 1)), &most);
+  const bool is_usage = ParseWholeNumber(Trim(text.substr(0, comma)), &prompt) &&
+                        ParseWholeNumber(Trim(text.substr(comma + 1)), &most);
   return is_usage ? std::optional<std::int64_t>(prompt + most) : std::nullopt;
 }
 
--- a/src/gateway/http_text.h
+++ b/src/gateway/http_text.h
@@ -31,7 +31,7 @@
 constexpr std::string_view kLastChunk = "0\r\n\r\n";
 
 // Parses a whole number of at most 15 digits; false for anything else.
-bool ParseWhole(std::string_view text, std::int64_t* value);
+bool ParseWholeNumber(std::string_view text, std::int64_t* value);
 
 // The sum of two whole numbers with a comma between; none for anything else.
 std::optional<std::int64_t> ParseTokenUsage(std::string_view text);
--- a/src/gateway/upstream_pool.cc
+++ b/src/gateway/upstream_pool.cc
@@ -28,17 +28,17 @@
 
 // A connection within a region stands within some ms; after one lost packet it
 // would take a second, and another upstream is sooner.
-constexpr DurationMs kConnectMs = 500;
+constexpr DurationMs kConnectTimeoutMs = 500;
 // The kernel gives an upstream up that acknowledges nothing for so long.
 constexpr unsigned kUserTimeoutMs = 4000;
 // Kept without word of the upstream's own limit.
-constexpr DurationMs kDefaultIdleMs = 4000;
+constexpr DurationMs kDefaultIdleTimeoutMs = 4000;
 // Before the upstream's own limit, so that it never closes under a request.
 constexpr DurationMs kIdleMarginMs = 700;
-constexpr std::size_t kMostIdle = 16;
+constexpr std::size_t kMaxIdleConnections = 16;
 constexpr std::size_t kReadBytes = 8 << 10;
-constexpr std::uint64_t kMostAnswerBytes = 1ULL << 40;
-constexpr std::uint32_t kMostHeadBytes = 64 << 10;
+constexpr std::uint64_t kMaxResponseBytes = 1ULL << 40;
+constexpr std::uint32_t kMaxHeadBytes = 64 << 10;
 
 using Parser = http::response_parser<http::string_body>;
 
@@ -92,9 +92,9 @@
     listener_ = std::move(listener);
     is_paused_ = false;
     has_sent_all_ = false;
-    ++use_;
+    ++generation_;
     if (is_connected_) {
-      asio::post(pool_->io_, [self = shared_from_this(), use = use_] {
+      asio::post(pool_->io_, [self = shared_from_this(), use = generation_] {
         if (self->IsCurrent(use)) self->Send();
       });
     } else {
@@ -117,7 +117,7 @@
   }
 
   // Whether the far end has neither closed nor sent what nobody asked for.
-  bool IsQuiet() {
+  bool IsCleanlyIdle() {
     error_code ec;
     char byte = 0;
     socket_.receive(asio::buffer(&byte, 1), tcp::socket::message_peek, ec);
@@ -134,19 +134,19 @@
   TimeMs idle_until() const { return idle_until_; }
 
  private:
-  bool IsCurrent(std::uint64_t use) const { return use == use_ && listener_ != nullptr; }
+  bool IsCurrent(std::uint64_t use) const { return use == generation_ && listener_ != nullptr; }
 
   void Connect() {
-    ++pool_->counters_.opened;
+    ++pool_->counters_.opened_connections;
     error_code ec;
     const auto address = asio::ip::make_address(endpoint_.address, ec);
-    timer_.expires_after(std::chrono::milliseconds(kConnectMs));
-    timer_.async_wait([self = shared_from_this(), use = use_](error_code timer_ec) {
+    timer_.expires_after(std::chrono::milliseconds(kConnectTimeoutMs));
+    timer_.async_wait([self = shared_from_this(), use = generation_](error_code timer_ec) {
       if (timer_ec || !self->IsCurrent(use) || self->is_connected_) return;
       self->Fail(UpstreamFailure::kNoConnection, "no connection in time");
     });
     socket_.async_connect(tcp::endpoint(address, endpoint_.port),
-                          [self = shared_from_this(), use = use_](error_code connect_ec) {
+                          [self = shared_from_this(), use = generation_](error_code connect_ec) {
                             if (!self->IsCurrent(use)) return;
                             self->OnConnected(connect_ec);
                           });
@@ -169,25 +169,26 @@
     parser_.reset();
     const std::array<asio::const_buffer, 2> parts = {asio::buffer(message_.head),
                                                      asio::buffer(*message_.body)};
-    asio::async_write(
-        socket_, parts,
-        [self = shared_from_this(), use = use_, body = message_.body](error_code ec, std::size_t) {
-          if (!self->IsCurrent(use)) return;
-          if (ec) return self->Fail(UpstreamFailure::kBroken, ec.message());
-          self->has_sent_all_ = true;
-        });
+    asio::async_write(socket_, parts,
+                      [self = shared_from_this(), use = generation_, body = message_.body](
+                          error_code ec, std::size_t) {
+                        if (!self->IsCurrent(use)) return;
+                        if (ec) return self->Fail(UpstreamFailure::kBroken, ec.message());
+                        self->has_sent_all_ = true;
+                      });
     Read();
   }
 
   void Read() {
     if (is_reading_ || is_paused_) return;
     is_reading_ = true;
-    socket_.async_read_some(buffer_.prepare(kReadBytes),
-                            [self = shared_from_this(), use = use_](error_code ec, std::size_t n) {
-                              self->is_reading_ = false;
-                              if (!self->IsCurrent(use)) return;
-                              self->OnRead(ec, n);
-                            });
+    socket_.async_read_some(
+        buffer_.prepare(kReadBytes),
+        [self = shared_from_this(), use = generation_](error_code ec, std::size_t n) {
+          self->is_reading_ = false;
+          if (!self->IsCurrent(use)) return;
+          self->OnRead(ec, n);
+        });
   }
 
   void OnRead(error_code ec, std::size_t n) {
@@ -209,15 +210,15 @@
   void NewParser() {
     parser_.emplace();
     parser_->eager(true);
-    parser_->body_limit(kMostAnswerBytes);
-    parser_->header_limit(kMostHeadBytes);
+    parser_->body_limit(kMaxResponseBytes);
+    parser_->header_limit(kMaxHeadBytes);
     if (message_.is_head_method) parser_->skip(true);
-    is_mine_ = false;
-    is_head_told_ = false;
+    is_matching_response_ = false;
+    is_head_delivered_ = false;
   }
 
   void Parse() {
-    const std::uint64_t use = use_;
+    const std::uint64_t use = generation_;
     while (buffer_.size() > 0) {
       if (!parser_) NewParser();
       error_code ec;
@@ -226,15 +227,15 @@
       if (ec && ec != http::error::need_more) {
         return Fail(UpstreamFailure::kBroken, "not an answer: " + ec.message());
       }
-      if (parser_->is_header_done()) TellProgress();
+      if (parser_->is_header_done()) DeliverProgress();
       if (!IsCurrent(use)) return;
       if (parser_->is_done()) {
-        if (is_mine_) return Finish(true);
+        if (is_matching_response_) return Finish(true);
         // Ours comes next: this was an interim answer, or a late one to the
         // request before.
         if (parser_->get().result_int() >= 200) {
-          ++pool_->counters_.surplus_answers;
-          is_spoiled_ = true;
+          ++pool_->counters_.surplus_responses;
+          has_surplus_response_ = true;
         }
         parser_.reset();
         continue;
@@ -245,53 +246,53 @@
   }
 
   // Tells the listener of the head, and of the body as far as it has come.
-  void TellProgress() {
-    const std::uint64_t use = use_;
-    if (!is_head_told_) {
-      is_head_told_ = true;
+  void DeliverProgress() {
+    const std::uint64_t use = generation_;
+    if (!is_head_delivered_) {
+      is_head_delivered_ = true;
       UpstreamHead head{parser_->get().result_int(), FieldsOf(*parser_)};
       // 1xx heads announce another one.
       const std::string* id = FindField(head.fields, pool_->request_id_field_);
-      is_mine_ = head.status >= 200 && id != nullptr && *id == message_.request_id;
-      NoteIdleLimit(head);
-      if (is_mine_) listener_->OnHead(std::move(head));
+      is_matching_response_ = head.status >= 200 && id != nullptr && *id == message_.request_id;
+      ReadKeepAlive(head);
+      if (is_matching_response_) listener_->OnHead(std::move(head));
     }
     if (!IsCurrent(use)) return;
     std::string& body = parser_->get().body();
     if (body.empty()) return;
     const std::string data = std::exchange(body, std::string());
-    if (is_mine_) listener_->OnBody(data);
+    if (is_matching_response_) listener_->OnBody(data);
   }
 
-  void NoteIdleLimit(const UpstreamHead& head) {
-    idle_ms_ = kDefaultIdleMs;
+  void ReadKeepAlive(const UpstreamHead& head) {
+    idle_timeout_ms_ = kDefaultIdleTimeoutMs;
     const std::string* field = FindField(head.fields, "Keep-Alive");
     if (field == nullptr) return;
     const std::size_t at = field->find("timeout=");
     if (at == std::string::npos) return;
     std::int64_t seconds = 0;
     const std::string digits = field->substr(at + 8, field->find_first_of(", ;", at) - at - 8);
-    if (!ParseWhole(digits, &seconds)) return;
-    idle_ms_ = std::min(kDefaultIdleMs, seconds * 1000 - kIdleMarginMs);
+    if (!ParseWholeNumber(digits, &seconds)) return;
+    idle_timeout_ms_ = std::min(kDefaultIdleTimeoutMs, seconds * 1000 - kIdleMarginMs);
   }
 
   void Finish(bool has_length) {
     const bool may_keep = has_length && parser_->keep_alive() && has_sent_all_ &&
-                          buffer_.size() == 0 && !is_spoiled_ && idle_ms_ > 0;
-    if (buffer_.size() > 0) ++pool_->counters_.surplus_answers;
+                          buffer_.size() == 0 && !has_surplus_response_ && idle_timeout_ms_ > 0;
+    if (buffer_.size() > 0) ++pool_->counters_.surplus_responses;
     const auto listener = std::exchange(listener_, nullptr);
     if (may_keep) {
-      Rest();
+      ReturnToPool();
     } else {
       Close();
     }
     listener->OnEnd();
   }
 
-  void Rest() {
+  void ReturnToPool() {
     auto& upstream = pool_->upstreams_[instance_];
-    if (upstream.idle.size() >= kMostIdle) return Close();
-    idle_until_ = MonotonicMs() + idle_ms_;
+    if (upstream.idle.size() >= kMaxIdleConnections) return Close();
+    idle_until_ = MonotonicMs() + idle_timeout_ms_;
     upstream.idle.push_back(shared_from_this());
   }
 
@@ -311,16 +312,16 @@
   std::optional<Parser> parser_;
   UpstreamMessage message_;
   std::shared_ptr<UpstreamListener> listener_;
-  std::uint64_t use_ = 0;  // Requests begun; handlers of an earlier one do nothing.
-  DurationMs idle_ms_ = kDefaultIdleMs;
+  std::uint64_t generation_ = 0;  // Requests begun; handlers of an earlier one do nothing.
+  DurationMs idle_timeout_ms_ = kDefaultIdleTimeoutMs;
   TimeMs idle_until_ = 0;
   bool is_connected_ = false;
   bool is_reading_ = false;
   bool is_paused_ = false;
   bool has_sent_all_ = false;
-  bool is_mine_ = false;  // The answer that is being read is to our request.
-  bool is_head_told_ = false;
-  bool is_spoiled_ = false;  // Surplus bytes were seen; never used again.
+  bool is_matching_response_ = false;  // The answer that is being read is to our request.
+  bool is_head_delivered_ = false;
+  bool has_surplus_response_ = false;  // Surplus bytes were seen; never used again.
 };
 
 std::shared_ptr<UpstreamPool::Connection> UpstreamPool::Impl::TakeIdle(const std::string& instance,
@@ -329,7 +330,7 @@
   while (!idle.empty()) {
     auto connection = std::move(idle.back());
     idle.pop_back();
-    if (connection->idle_until() > now && connection->IsQuiet()) return connection;
+    if (connection->idle_until() > now && connection->IsCleanlyIdle()) return connection;
     connection->Close();
   }
   return nullptr;
@@ -364,7 +365,7 @@
     const bool is_gone = !is_known(it->first);
     for (auto connection = idle.begin(); connection != idle.end();) {
       const bool is_over =
-          is_gone || (*connection)->idle_until() <= now || !(*connection)->IsQuiet();
+          is_gone || (*connection)->idle_until() <= now || !(*connection)->IsCleanlyIdle();
       if (is_over) (*connection)->Close();
       connection = is_over ? idle.erase(connection) : std::next(connection);
     }
--- a/src/gateway/upstream_pool.h
+++ b/src/gateway/upstream_pool.h
@@ -58,8 +58,8 @@
 };
 
 struct UpstreamPoolCounters {
-  std::uint64_t opened = 0;
-  std::uint64_t surplus_answers = 0;
+  std::uint64_t opened_connections = 0;
+  std::uint64_t surplus_responses = 0;
 };
 
 class UpstreamPool {
--- a/test/gateway_test.cc
+++ b/test/gateway_test.cc
@@ -7,7 +7,7 @@
 #include <array>
 
 #include "check.h"
-#include "gateway_world.h"
+#include "gateway_fixture.h"
 #include "loopback.h"
 
 namespace junctionrail {
@@ -21,28 +21,29 @@
 using Peer = std::shared_ptr<UpstreamPeer>;
 using boost::asio::ip::tcp;
 
-using testing::Answer;
-using testing::Event;
-using testing::Holds;
-using testing::KeptRequest;
+using testing::Contains;
+using testing::EventChunk;
+using testing::EventStreamHead;
+using testing::MakeKeepAliveRequest;
+using testing::MakeRequest;
 using testing::MakeRoute;
-using testing::Request;
-using testing::StreamHead;
-using World = testing::GatewayWorld;
+using testing::OkResponse;
+using Fixture = testing::GatewayFixture;
 
 }  // namespace
 
 TEST_GROUP(GatewayServes){};
 
 TEST(GatewayServes, PassesARequestAndItsAnswerOnUnchanged) {
-  World world;
-  world.AddUpstream("u1", "plain",
-                    [](const SeenRequest&, const Peer& peer) { peer->Write(Answer("hello")); });
-  world.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
-  const std::string answer = world.Ask(Request("POST /a/b?q=1", "X-Own: v\r\n", "body"));
-  EXPECT_TRUE(Holds(answer, "200 OK") && Holds(answer, "hello"), answer);
-  EXPECT_TRUE(Holds(answer, "Junctionrail-Proof: p"), "the upstream's fields go on");
-  const SeenRequest& seen = world.upstreams[0]->seen().at(0);
+  Fixture fixture;
+  fixture.AddUpstream("u1", "plain", [](const SeenRequest&, const Peer& peer) {
+    peer->Write(OkResponse("hello"));
+  });
+  fixture.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
+  const std::string answer = fixture.Fetch(MakeRequest("POST /a/b?q=1", "X-Own: v\r\n", "body"));
+  EXPECT_TRUE(Contains(answer, "200 OK") && Contains(answer, "hello"), answer);
+  EXPECT_TRUE(Contains(answer, "Junctionrail-Proof: p"), "the upstream's fields go on");
+  const SeenRequest& seen = fixture.upstreams[0]->seen().at(0);
   EXPECT_TEXT("POST /a/b?q=1 HTTP/1.1", seen.Line(), "method and target go on unchanged");
   EXPECT_TEXT("body", seen.body, "so does the body");
   EXPECT_TEXT("v", seen.Field("X-Own"), "and fields of the caller's own");
@@ -50,248 +51,257 @@
 }
 
 TEST(GatewayServes, AnswersUnavailableBeforeAConfigurationIsKnownAndNotFoundAfter) {
-  World world;
-  EXPECT_TRUE(Holds(world.Ask(Request("GET /a/b")), "503 "), "nothing is known yet");
-  world.Configure({MakeRoute("/a/", CallKind::kRepeatable, "plain")});
-  EXPECT_TRUE(Holds(world.Ask(Request("GET /other")), "404 "), "no route has this prefix");
+  Fixture fixture;
+  EXPECT_TRUE(Contains(fixture.Fetch(MakeRequest("GET /a/b")), "503 "), "nothing is known yet");
+  fixture.Configure({MakeRoute("/a/", CallKind::kRepeatable, "plain")});
+  EXPECT_TRUE(Contains(fixture.Fetch(MakeRequest("GET /other")), "404 "),
+              "no route has this prefix");
 }
 
 TEST(GatewayServes, KeepsFieldsThatOnlyTheSystemSetsFromCallers) {
   GatewayOptions options;
-  options.names.reserved = {"Junctionrail-Hold"};
-  World world(options);
-  world.AddUpstream("u1", "plain",
-                    [](const SeenRequest&, const Peer& peer) { peer->Write(Answer("")); });
-  world.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
-  world.Ask(Request("GET /a/", "Junctionrail-Hold: 7\r\nJunctionrail-Expected-Instance: u9\r\n"));
-  const SeenRequest& seen = world.upstreams[0]->seen().at(0);
+  options.header_names.reserved = {"Junctionrail-Hold"};
+  Fixture fixture(options);
+  fixture.AddUpstream("u1", "plain",
+                      [](const SeenRequest&, const Peer& peer) { peer->Write(OkResponse("")); });
+  fixture.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
+  fixture.Fetch(
+      MakeRequest("GET /a/", "Junctionrail-Hold: 7\r\nJunctionrail-Expected-Instance: u9\r\n"));
+  const SeenRequest& seen = fixture.upstreams[0]->seen().at(0);
   EXPECT_TEXT("(none)", seen.Field("Junctionrail-Hold"), "a reserved field is dropped");
   EXPECT_TEXT("u1", seen.Field("Junctionrail-Expected-Instance"), "a forged one is replaced");
 }
 
 TEST(GatewayServes, PassesEventsOnAsTheyCome) {
-  World world;
+  Fixture fixture;
   Peer stream;
-  world.AddUpstream("u1", "engine", [&](const SeenRequest&, const Peer& peer) {
-    peer->Write(StreamHead() + Event(1));
+  fixture.AddUpstream("u1", "engine", [&](const SeenRequest&, const Peer& peer) {
+    peer->Write(EventStreamHead() + EventChunk(1));
     stream = peer;
   });
-  world.Configure({MakeRoute("/s/", CallKind::kStream, "engine")});
-  TestCaller caller(world.io, world.port);
-  caller.Send(Request("POST /s/"));
+  fixture.Configure({MakeRoute("/s/", CallKind::kStream, "engine")});
+  TestCaller caller(fixture.io, fixture.port);
+  caller.Send(MakeRequest("POST /s/"));
   EXPECT_TRUE(caller.AwaitText("id: 1"), "the first event comes before the second is made");
-  stream->Write(Event(2) + "0\r\n\r\n");
-  EXPECT_TRUE(caller.AwaitEnd() && Holds(caller.received(), "0\r\n\r\n"), caller.received());
+  stream->Write(EventChunk(2) + "0\r\n\r\n");
+  EXPECT_TRUE(caller.AwaitEnd() && Contains(caller.received(), "0\r\n\r\n"), caller.received());
 }
 
 TEST_GROUP(GatewayRetries){};
 
 TEST(GatewayRetries, SendsARepeatableRequestElsewhereAfterAFailure) {
-  World world;
+  Fixture fixture;
   const auto fail = [](const SeenRequest&, const Peer& peer) { peer->Close(); };
-  const auto serve = [](const SeenRequest&, const Peer& peer) { peer->Write(Answer("ok")); };
+  const auto serve = [](const SeenRequest&, const Peer& peer) { peer->Write(OkResponse("ok")); };
   int calls = 0;
   const auto script = [&](const SeenRequest& request, const Peer& peer) {
     ++calls == 1 ? fail(request, peer) : serve(request, peer);
   };
-  world.AddUpstream("u1", "plain", script);
-  world.AddUpstream("u2", "plain", script);
-  world.Configure({MakeRoute("/a/", CallKind::kRepeatable, "plain")});
-  EXPECT_TRUE(Holds(world.Ask(Request("GET /a/")), "200 OK"), "the second upstream served it");
+  fixture.AddUpstream("u1", "plain", script);
+  fixture.AddUpstream("u2", "plain", script);
+  fixture.Configure({MakeRoute("/a/", CallKind::kRepeatable, "plain")});
+  EXPECT_TRUE(Contains(fixture.Fetch(MakeRequest("GET /a/")), "200 OK"),
+              "the second upstream served it");
   EXPECT_NUMBER(2, calls, "one failure, one answer");
 }
 
 TEST(GatewayRetries, NeverSendsAnAtMostOnceRequestTwiceAndSaysThatItMayHaveRun) {
-  World world;
+  Fixture fixture;
   int calls = 0;
   const auto script = [&](const SeenRequest&, const Peer& peer) {
     ++calls;
     peer->Reset();
   };
-  world.AddUpstream("u1", "plain", script);
-  world.AddUpstream("u2", "plain", script);
-  world.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
-  const std::string answer = world.Ask(Request("POST /a/", "", "order"));
-  EXPECT_TRUE(Holds(answer, "502 ") && Holds(answer, "\"ran\":\"unknown\""), answer);
+  fixture.AddUpstream("u1", "plain", script);
+  fixture.AddUpstream("u2", "plain", script);
+  fixture.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
+  const std::string answer = fixture.Fetch(MakeRequest("POST /a/", "", "order"));
+  EXPECT_TRUE(Contains(answer, "502 ") && Contains(answer, "\"ran\":\"unknown\""), answer);
   EXPECT_NUMBER(1, calls, "it was sent once");
 }
 
 TEST(GatewayRetries, SendsAnAtMostOnceRequestElsewhereWhenTheUpstreamSaysItDidNotRun) {
-  World world;
+  Fixture fixture;
   int calls = 0;
   const auto script = [&](const SeenRequest&, const Peer& peer) {
     const bool is_first = ++calls == 1;
     peer->Write(is_first ? "HTTP/1.1 503 Service Unavailable\r\nJunctionrail-Request-Id: r1\r\n"
                            "Junctionrail-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
-                         : Answer("ok"));
+                         : OkResponse("ok"));
   };
-  world.AddUpstream("u1", "plain", script);
-  world.AddUpstream("u2", "plain", script);
-  world.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
-  EXPECT_TRUE(Holds(world.Ask(Request("POST /a/", "", "order")), "200 OK"), "served elsewhere");
+  fixture.AddUpstream("u1", "plain", script);
+  fixture.AddUpstream("u2", "plain", script);
+  fixture.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
+  EXPECT_TRUE(Contains(fixture.Fetch(MakeRequest("POST /a/", "", "order")), "200 OK"),
+              "served elsewhere");
 }
 
 TEST(GatewayRetries, TurnsAnUpstreamsBareUnavailableIntoOutcomeUnknown) {
   // Without the upstream's own word a 503 would promise what nobody knows.
-  World world;
-  world.AddUpstream("u1", "plain", [](const SeenRequest&, const Peer& peer) {
+  Fixture fixture;
+  fixture.AddUpstream("u1", "plain", [](const SeenRequest&, const Peer& peer) {
     peer->Write(
         "HTTP/1.1 503 Service Unavailable\r\nJunctionrail-Request-Id: r1\r\n"
         "Junctionrail-Proof: p\r\nContent-Length: 0\r\n\r\n");
   });
-  world.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
-  const std::string answer = world.Ask(Request("POST /a/", "", "order"));
-  EXPECT_TRUE(Holds(answer, "502 ") && !Holds(answer, "Junctionrail-Proof"), answer);
+  fixture.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
+  const std::string answer = fixture.Fetch(MakeRequest("POST /a/", "", "order"));
+  EXPECT_TRUE(Contains(answer, "502 ") && !Contains(answer, "Junctionrail-Proof"), answer);
 }
 
 TEST(GatewayRetries, LeaveASilentUpstreamItsTimeWhenTheBudgetIsSpent) {
   // with the budget spent, 100 requests were taken from
   // slow engines and answered 502 in place of being left there.
-  World world({}, {0, 0, 10000});
-  Timer timer(world.io);
+  Fixture fixture({}, {0, 0, 10000});
+  Timer timer(fixture.io);
   int calls = 0;
   const auto script = [&](const SeenRequest&, const Peer& peer) {
     ++calls;
-    timer.After(600, [peer] { peer->Write(Answer("late")); });
+    timer.After(600, [peer] { peer->Write(OkResponse("late")); });
   };
-  world.AddUpstream("u1", "plain", script);
-  world.AddUpstream("u2", "plain", script);
+  fixture.AddUpstream("u1", "plain", script);
+  fixture.AddUpstream("u2", "plain", script);
   Route route = MakeRoute("/a/", CallKind::kRepeatable, "plain");
   route.first_answer_ms = 100;
-  world.Configure({route});
-  const std::string answer = world.Ask(Request("GET /a/"));
-  EXPECT_TRUE(Holds(answer, "200 OK") && Holds(answer, "late"), answer);
+  fixture.Configure({route});
+  const std::string answer = fixture.Fetch(MakeRequest("GET /a/"));
+  EXPECT_TRUE(Contains(answer, "200 OK") && Contains(answer, "late"), answer);
   EXPECT_NUMBER(1, calls, "the one attempt");
 }
 
 TEST(GatewayRetries, ResumesAStreamAfterItsLastWholeEvent) {
-  World world;
+  Fixture fixture;
   int calls = 0;
   const auto script = [&](const SeenRequest& request, const Peer& peer) {
     if (++calls == 1) {
-      peer->Write(StreamHead() + Event(1) + Event(2) + "9\r\nid: 3\ndat\r\n");
+      peer->Write(EventStreamHead() + EventChunk(1) + EventChunk(2) + "9\r\nid: 3\ndat\r\n");
       return peer->Close();
     }
     EXPECT_TEXT("2", request.Field("Last-Event-ID"), "the last whole event is named");
-    peer->Write(StreamHead() + Event(3) + "0\r\n\r\n");
+    peer->Write(EventStreamHead() + EventChunk(3) + "0\r\n\r\n");
   };
-  world.AddUpstream("u1", "engine", script);
-  world.AddUpstream("u2", "engine", script);
+  fixture.AddUpstream("u1", "engine", script);
+  fixture.AddUpstream("u2", "engine", script);
   Route route = MakeRoute("/s/", CallKind::kStream, "engine");
   route.is_resumable = true;
-  world.Configure({route});
-  const std::string answer = world.Ask(Request("POST /s/"));
-  EXPECT_TRUE(Holds(answer, "id: 2\n") && Holds(answer, "id: 3\ndata: x\n\n"), answer);
-  EXPECT_TRUE(Holds(answer, "0\r\n\r\n"), "the whole stream ends as complete");
+  fixture.Configure({route});
+  const std::string answer = fixture.Fetch(MakeRequest("POST /s/"));
+  EXPECT_TRUE(Contains(answer, "id: 2\n") && Contains(answer, "id: 3\ndata: x\n\n"), answer);
+  EXPECT_TRUE(Contains(answer, "0\r\n\r\n"), "the whole stream ends as complete");
   EXPECT_TRUE(answer.find("id: 3") == answer.rfind("id: 3"), "the torn event is not passed on");
 }
 
 TEST(GatewayRetries, CutsAStreamThatMayNotBeResumedSoThatItDoesNotLookComplete) {
-  World world;
-  world.AddUpstream("u1", "engine", [](const SeenRequest&, const Peer& peer) {
-    peer->Write(StreamHead() + Event(1));
+  Fixture fixture;
+  fixture.AddUpstream("u1", "engine", [](const SeenRequest&, const Peer& peer) {
+    peer->Write(EventStreamHead() + EventChunk(1));
     peer->Close();
   });
-  world.Configure({MakeRoute("/s/", CallKind::kStream, "engine")});
-  const std::string answer = world.Ask(Request("POST /s/"));
-  EXPECT_TRUE(Holds(answer, "id: 1"), answer);
-  EXPECT_TRUE(!Holds(answer, "0\r\n\r\n"), "no last chunk");
+  fixture.Configure({MakeRoute("/s/", CallKind::kStream, "engine")});
+  const std::string answer = fixture.Fetch(MakeRequest("POST /s/"));
+  EXPECT_TRUE(Contains(answer, "id: 1"), answer);
+  EXPECT_TRUE(!Contains(answer, "0\r\n\r\n"), "no last chunk");
 }
 
 TEST_GROUP(GatewayMatches){};
 
 TEST(GatewayMatches, PassesOverALateAnswerToTheRequestBefore) {
-  World world;
-  world.AddUpstream("u1", "plain", [](const SeenRequest& request, const Peer& peer) {
+  Fixture fixture;
+  fixture.AddUpstream("u1", "plain", [](const SeenRequest& request, const Peer& peer) {
     const std::string id = request.Field("Junctionrail-Request-Id");
-    if (id == "first") return peer->Write(Answer("one", "first"));
-    peer->Write(Answer("one", "first") + Answer("two", id));
+    if (id == "first") return peer->Write(OkResponse("one", "first"));
+    peer->Write(OkResponse("one", "first") + OkResponse("two", id));
   });
-  world.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
-  TestCaller caller(world.io, world.port);
-  caller.Send(KeptRequest("GET /a/", "first"));
+  fixture.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
+  TestCaller caller(fixture.io, fixture.port);
+  caller.Send(MakeKeepAliveRequest("GET /a/", "first"));
   EXPECT_TRUE(caller.AwaitText("one"), "the first answer");
   caller.Forget();
-  caller.Send(KeptRequest("GET /a/", "second"));
+  caller.Send(MakeKeepAliveRequest("GET /a/", "second"));
   EXPECT_TRUE(caller.AwaitText("two"), "the second request gets its own answer");
-  EXPECT_TRUE(!Holds(caller.received(), "one"), caller.received());
-  EXPECT_NUMBER(1, world.gateway->counters().surplus_answers, "and the late one is counted");
+  EXPECT_TRUE(!Contains(caller.received(), "one"), caller.received());
+  EXPECT_NUMBER(1, fixture.gateway->counters().surplus_responses, "and the late one is counted");
 }
 
 TEST(GatewayMatches, NeverUsesAConnectionAgainOnWhichSurplusBytesCame) {
-  World world;
-  world.AddUpstream("u1", "plain", [](const SeenRequest& request, const Peer& peer) {
+  Fixture fixture;
+  fixture.AddUpstream("u1", "plain", [](const SeenRequest& request, const Peer& peer) {
     const std::string id = request.Field("Junctionrail-Request-Id");
-    peer->Write(Answer("own", id) + Answer("surplus", id));
+    peer->Write(OkResponse("own", id) + OkResponse("surplus", id));
   });
-  world.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
-  TestCaller caller(world.io, world.port);
-  caller.Send(KeptRequest("GET /a/", "first"));
+  fixture.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
+  TestCaller caller(fixture.io, fixture.port);
+  caller.Send(MakeKeepAliveRequest("GET /a/", "first"));
   EXPECT_TRUE(caller.AwaitText("own"), "the first answer");
-  caller.Send(KeptRequest("GET /a/", "second"));
-  RunUntil(world.io, [&] { return world.upstreams[0]->seen().size() == 2; });
-  EXPECT_NUMBER(2, world.upstreams[0]->connections(), "the second request has its own connection");
-  EXPECT_TRUE(!Holds(caller.received(), "surplus"), caller.received());
+  caller.Send(MakeKeepAliveRequest("GET /a/", "second"));
+  RunUntil(fixture.io, [&] { return fixture.upstreams[0]->seen().size() == 2; });
+  EXPECT_NUMBER(2, fixture.upstreams[0]->connections(),
+                "the second request has its own connection");
+  EXPECT_TRUE(!Contains(caller.received(), "surplus"), caller.received());
 }
 
 TEST(GatewayMatches, TakesAnAnswerWithoutLengthAsWholeOnlyWhenItsConnectionIsClosed) {
-  World world;
+  Fixture fixture;
   bool is_reset = false;
-  world.AddUpstream("u1", "plain", [&](const SeenRequest&, const Peer& peer) {
+  fixture.AddUpstream("u1", "plain", [&](const SeenRequest&, const Peer& peer) {
     peer->Write(
         "HTTP/1.1 200 OK\r\nJunctionrail-Request-Id: r1\r\nJunctionrail-Proof: p\r\n\r\nall");
     is_reset ? peer->Reset() : peer->Close();
   });
-  world.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
-  EXPECT_TRUE(Holds(world.Ask(Request("GET /a/")), "Content-Length: 3"), "closed: whole");
+  fixture.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
+  EXPECT_TRUE(Contains(fixture.Fetch(MakeRequest("GET /a/")), "Content-Length: 3"),
+              "closed: whole");
   is_reset = true;
-  EXPECT_TRUE(Holds(world.Ask(Request("GET /a/")), "502 "), "reset: not known to be whole");
+  EXPECT_TRUE(Contains(fixture.Fetch(MakeRequest("GET /a/")), "502 "),
+              "reset: not known to be whole");
 }
 
 TEST_GROUP(GatewayRejects){};
 
 TEST(GatewayRejects, RequestsWhoseLengthTwoReadersMayUnderstandDifferently) {
-  World world;
-  world.AddUpstream("u1", "plain",
-                    [](const SeenRequest&, const Peer& peer) { peer->Write(Answer("")); });
-  world.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
+  Fixture fixture;
+  fixture.AddUpstream("u1", "plain",
+                      [](const SeenRequest&, const Peer& peer) { peer->Write(OkResponse("")); });
+  fixture.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
   for (const std::string fields :
        {"Content-Length: 3\r\nTransfer-Encoding: chunked\r\n", "Transfer-Encoding: xchunked\r\n",
         "Transfer-Encoding: identity\r\nTransfer-Encoding: chunked\r\n",
         "Content-Length: 3\r\nContent-Length: 4\r\n", "Host: other.example\r\n"}) {
     const std::string answer =
-        world.Ask(Request("POST /a/", fields) + "0\r\n\r\nGET /a/ HTTP/1.1\r\n");
-    EXPECT_TRUE(Holds(answer, "400 "), fields + " got " + answer);
+        fixture.Fetch(MakeRequest("POST /a/", fields) + "0\r\n\r\nGET /a/ HTTP/1.1\r\n");
+    EXPECT_TRUE(Contains(answer, "400 "), fields + " got " + answer);
   }
-  EXPECT_NUMBER(0, world.upstreams[0]->seen().size(), "nothing reached the upstream");
+  EXPECT_NUMBER(0, fixture.upstreams[0]->seen().size(), "nothing reached the upstream");
 }
 
 TEST(GatewayRejects, HeadsAndBodiesOverTheLimits) {
-  World world;
-  world.limits.max_header_bytes = 512;
-  world.limits.max_body_bytes = 16;
-  world.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
+  Fixture fixture;
+  fixture.limits.max_header_bytes = 512;
+  fixture.limits.max_body_bytes = 16;
+  fixture.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
   const std::string long_field = "X-Long: " + std::string(600, 'x') + "\r\n";
-  EXPECT_TRUE(Holds(world.Ask(Request("GET /a/", long_field)), "431 "), "the head is too long");
-  EXPECT_TRUE(Holds(world.Ask(Request("POST /a/", "", std::string(17, 'x'))), "413 "), "the body");
+  EXPECT_TRUE(Contains(fixture.Fetch(MakeRequest("GET /a/", long_field)), "431 "),
+              "the head is too long");
+  EXPECT_TRUE(Contains(fixture.Fetch(MakeRequest("POST /a/", "", std::string(17, 'x'))), "413 "),
+              "the body");
 }
 
 TEST(GatewayRejects, HeadsThatTrickleIn) {
-  World world;
-  world.limits.header_timeout_ms = 50;
-  world.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
-  TestCaller caller(world.io, world.port);
+  Fixture fixture;
+  fixture.limits.header_timeout_ms = 50;
+  fixture.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
+  TestCaller caller(fixture.io, fixture.port);
   caller.Send("GET /a/ HT");
-  EXPECT_TRUE(caller.AwaitEnd() && Holds(caller.received(), "408 "), caller.received());
+  EXPECT_TRUE(caller.AwaitEnd() && Contains(caller.received(), "408 "), caller.received());
 }
 
 TEST_GROUP(GatewayWaits){};
 
 namespace {
 
-// A world with one engine service that knows the models a and b.
-struct EngineWorld : World {
-  EngineWorld() {
+// A fixture with one engine service that knows the models a and b.
+struct EngineFixture : Fixture {
+  EngineFixture() {
     RoutingConfiguration configuration;
     configuration.version = 1;
     Route route = MakeRoute("/s/", CallKind::kStream, "engine");
@@ -316,57 +326,59 @@
 };
 
 std::string ModelRequest(const std::string& model) {
-  return Request("POST /s/", "Junctionrail-Model: " + model + "\r\n");
+  return MakeRequest("POST /s/", "Junctionrail-Model: " + model + "\r\n");
 }
 
 }  // namespace
 
 TEST(GatewayWaits, UntilTheModelIsUp) {
-  EngineWorld world;
-  world.AddUpstream("u1", "engine", [](const SeenRequest&, const Peer& peer) {
-    peer->Write(StreamHead() + Event(1) + "0\r\n\r\n");
+  EngineFixture fixture;
+  fixture.AddUpstream("u1", "engine", [](const SeenRequest&, const Peer& peer) {
+    peer->Write(EventStreamHead() + EventChunk(1) + "0\r\n\r\n");
   });
-  world.Show({});
-  TestCaller caller(world.io, world.port);
+  fixture.Show({});
+  TestCaller caller(fixture.io, fixture.port);
   caller.Send(ModelRequest("a"));
-  EXPECT_TRUE(RunUntil(world.io, [&] { return !world.Wanted().empty(); }), "the agent is asked");
-  EXPECT_NUMBER(0, world.upstreams[0]->seen().size(), "the request waits");
-  world.Show({{"a", {}}});
+  EXPECT_TRUE(RunUntil(fixture.io, [&] { return !fixture.Wanted().empty(); }),
+              "the agent is asked");
+  EXPECT_NUMBER(0, fixture.upstreams[0]->seen().size(), "the request waits");
+  fixture.Show({{"a", {}}});
   EXPECT_TRUE(caller.AwaitText("id: 1"), "and is sent when the agent says that it is loaded");
 }
 
 TEST(GatewayWaits, NotWhenTheLoadTakesTooLongAndStillAsksForIt) {
   // a busy model was asked for 25 times a second for five
   // seconds, each request was refused, and no agent ever heard of it.
-  EngineWorld world;
-  world.AddUpstream("u1", "engine", [](const SeenRequest&, const Peer&) {});
-  world.Show({});
-  const std::string answer = world.Ask(ModelRequest("b"));
-  EXPECT_TRUE(Holds(answer, "503 ") && Holds(answer, "Retry-After"), answer);
-  EXPECT_NUMBER(1, world.Wanted().size(), "the load is still wanted");
+  EngineFixture fixture;
+  fixture.AddUpstream("u1", "engine", [](const SeenRequest&, const Peer&) {});
+  fixture.Show({});
+  const std::string answer = fixture.Fetch(ModelRequest("b"));
+  EXPECT_TRUE(Contains(answer, "503 ") && Contains(answer, "Retry-After"), answer);
+  EXPECT_NUMBER(1, fixture.Wanted().size(), "the load is still wanted");
 }
 
 TEST(GatewayWaits, AsLongAsItCanBeServedAndIsRefusedWhenTheEstimateSaysThatItCannot) {
-  EngineWorld world;
-  world.AddUpstream("u1", "engine", [](const SeenRequest&, const Peer&) {});
-  world.Show({});
-  TestCaller caller(world.io, world.port);
+  EngineFixture fixture;
+  fixture.AddUpstream("u1", "engine", [](const SeenRequest&, const Peer&) {});
+  fixture.Show({});
+  TestCaller caller(fixture.io, fixture.port);
   // The load of a takes 0.45 s as estimated, and is never carried out: with 1.2 s
   // to live it can be served until 0.75 s are over. Timers of one loop run in
   // the order of their times, however late.
-  caller.Send(Request("POST /s/", "Junctionrail-Model: a\r\nJunctionrail-Deadline-Ms: 1200\r\n"));
-  RunUntil(world.io, [&] { return world.gateway->counters().waited_for_model == 1; });
+  caller.Send(
+      MakeRequest("POST /s/", "Junctionrail-Model: a\r\nJunctionrail-Deadline-Ms: 1200\r\n"));
+  RunUntil(fixture.io, [&] { return fixture.gateway->counters().model_waits == 1; });
   std::optional<std::uint64_t> refused_early;
   std::optional<std::uint64_t> refused;
-  Timer early(world.io);
-  early.After(650, [&] { refused_early = world.gateway->counters().refused; });
-  Timer between(world.io);
-  between.After(1100, [&] { refused = world.gateway->counters().refused; });
-  RunUntil(world.io, [&] { return refused.has_value(); });
+  Timer early(fixture.io);
+  early.After(650, [&] { refused_early = fixture.gateway->counters().refused; });
+  Timer between(fixture.io);
+  between.After(1100, [&] { refused = fixture.gateway->counters().refused; });
+  RunUntil(fixture.io, [&] { return refused.has_value(); });
   EXPECT_NUMBER(0, refused_early.value_or(1), "half of its time is over, and it can be served");
   EXPECT_NUMBER(1, refused.value_or(0), "the load slipped: refused before its time is over");
-  EXPECT_TRUE(caller.AwaitEnd() && Holds(caller.received(), "503 "), caller.received());
-  EXPECT_TRUE(Holds(caller.received(), "Retry-After"), "with the time to come back");
+  EXPECT_TRUE(caller.AwaitEnd() && Contains(caller.received(), "503 "), caller.received());
+  EXPECT_TRUE(Contains(caller.received(), "Retry-After"), "with the time to come back");
 }
 
 TEST_GROUP(GatewayCancels){};
@@ -374,29 +386,29 @@
 TEST(GatewayCancels, ByAResetSoThatAPausedUpstreamNeverBegins) {
   // An upstream that is paused reads what its kernel holds when it goes on: after
   // an orderly close that would be a request whose caller left long before.
-  World world;
-  world.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
-  tcp::acceptor paused(world.io, tcp::endpoint(boost::asio::ip::make_address("127.0.0.1"), 0));
+  Fixture fixture;
+  fixture.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
+  tcp::acceptor paused(fixture.io, tcp::endpoint(boost::asio::ip::make_address("127.0.0.1"), 0));
   UpstreamRecord record;
   record.instance = "u1";
   record.service = "plain";
   record.endpoint = {"127.0.0.1", paused.local_endpoint().port()};
   record.data_hall = "hall-1";
   record.slots = 4;
-  world.gateway->ApplyListing({{record}, MonotonicMs()});
-  TestCaller caller(world.io, world.port);
-  caller.Send(Request("GET /a/"));
-  tcp::socket socket(world.io);
+  fixture.gateway->ApplyListing({{record}, MonotonicMs()});
+  TestCaller caller(fixture.io, fixture.port);
+  caller.Send(MakeRequest("GET /a/"));
+  tcp::socket socket(fixture.io);
   bool is_accepted = false;
   paused.async_accept(socket, [&](boost::system::error_code) { is_accepted = true; });
-  EXPECT_TRUE(RunUntil(world.io, [&] { return is_accepted; }), "the request's connection came");
+  EXPECT_TRUE(RunUntil(fixture.io, [&] { return is_accepted; }), "the request's connection came");
   boost::system::error_code ec;
   const auto bytes = [&] { return socket.available(ec); };
-  RunUntil(world.io, [&] { return bytes() > 0; });
+  RunUntil(fixture.io, [&] { return bytes() > 0; });
   caller.Close();
   std::array<char, 4096> buf;
   socket.non_blocking(true);
-  const bool is_reset = RunUntil(world.io, [&] {
+  const bool is_reset = RunUntil(fixture.io, [&] {
     while (!ec) socket.receive(boost::asio::buffer(buf), 0, ec);
     if (ec == boost::asio::error::would_block) ec.clear();
     return ec == boost::asio::error::connection_reset;
@@ -407,23 +419,23 @@
 TEST(GatewayWaits, NeverSaysThatItDidNotRunAfterAnAttemptThatMayHave) {
   // Found by reading: the refusal of a request that waits for a model did not
   // ask whether an earlier attempt had been sent.
-  EngineWorld world;
-  world.AddUpstream("u1", "engine", [&](const SeenRequest&, const Peer& peer) {
-    world.Show({});
+  EngineFixture fixture;
+  fixture.AddUpstream("u1", "engine", [&](const SeenRequest&, const Peer& peer) {
+    fixture.Show({});
     peer->Reset();
   });
-  world.AddUpstream("u2", "engine", [](const SeenRequest&, const Peer&) {});
-  RoutingConfiguration configuration = world.gateway->configuration();
+  fixture.AddUpstream("u2", "engine", [](const SeenRequest&, const Peer&) {});
+  RoutingConfiguration configuration = fixture.gateway->configuration();
   configuration.version = 2;
   configuration.routes[0].is_resumable = true;
   configuration.routes[0].patience_ms = 300;
-  world.gateway->ApplyConfiguration(configuration);
-  world.Show({{"b", {}}});
+  fixture.gateway->ApplyConfiguration(configuration);
+  fixture.Show({{"b", {}}});
   EngineView other;
   other.instance = "u2";
-  world.gateway->ApplyView(other);
-  const std::string answer = world.Ask(ModelRequest("b"));
-  EXPECT_TRUE(Holds(answer, "502 ") && Holds(answer, "\"ran\":\"unknown\""), answer);
+  fixture.gateway->ApplyView(other);
+  const std::string answer = fixture.Fetch(ModelRequest("b"));
+  EXPECT_TRUE(Contains(answer, "502 ") && Contains(answer, "\"ran\":\"unknown\""), answer);
 }
 
 TEST_GROUP(GatewayLeavesOut){};
@@ -431,34 +443,36 @@
 TEST(GatewayLeavesOut, AnUpstreamThatLeftWhileItWasConnectedTo) {
   // A connection may take half a second; without a second look the request went to
   // an upstream that was known to leave.
-  World world;
-  const auto answer = [](const SeenRequest&, const Peer& peer) { peer->Write(Answer("x")); };
-  world.AddUpstream("u1", "plain", answer);
-  world.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
-  TestCaller caller(world.io, world.port);
-  caller.Send(Request("POST /a/b", "", "body"));
+  Fixture fixture;
+  const auto answer = [](const SeenRequest&, const Peer& peer) { peer->Write(OkResponse("x")); };
+  fixture.AddUpstream("u1", "plain", answer);
+  fixture.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
+  TestCaller caller(fixture.io, fixture.port);
+  caller.Send(MakeRequest("POST /a/b", "", "body"));
   EXPECT_TRUE(
-      RunUntil(world.io, [&] { return world.gateway->counters().upstream_connections == 1; }), "");
-  world.records[0].is_leaving = true;
-  world.AddUpstream("u2", "plain", answer);
+      RunUntil(fixture.io, [&] { return fixture.gateway->counters().upstream_connections == 1; }),
+      "");
+  fixture.records[0].is_leaving = true;
+  fixture.AddUpstream("u2", "plain", answer);
   EXPECT_TRUE(caller.AwaitText("x"), "the other one answers");
-  EXPECT_NUMBER(0, world.upstreams[0]->seen().size(), "it leaves");
-  EXPECT_NUMBER(1, world.upstreams[1]->seen().size(), "it was sent nowhere before");
+  EXPECT_NUMBER(0, fixture.upstreams[0]->seen().size(), "it leaves");
+  EXPECT_NUMBER(1, fixture.upstreams[1]->seen().size(), "it was sent nowhere before");
 }
 
 TEST(GatewayLeavesOut, AnUpstreamThatLeftAndSaysThatTheRequestDidNotRun) {
-  World world;
-  world.AddUpstream("u1", "plain",
-                    [](const SeenRequest&, const Peer& peer) { peer->Write(Answer("x")); });
-  world.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
-  TestCaller caller(world.io, world.port);
-  caller.Send(Request("POST /a/b", "", "body"));
+  Fixture fixture;
+  fixture.AddUpstream("u1", "plain",
+                      [](const SeenRequest&, const Peer& peer) { peer->Write(OkResponse("x")); });
+  fixture.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
+  TestCaller caller(fixture.io, fixture.port);
+  caller.Send(MakeRequest("POST /a/b", "", "body"));
   EXPECT_TRUE(
-      RunUntil(world.io, [&] { return world.gateway->counters().upstream_connections == 1; }), "");
-  world.gateway->ApplyListing({{}, MonotonicMs()});
+      RunUntil(fixture.io, [&] { return fixture.gateway->counters().upstream_connections == 1; }),
+      "");
+  fixture.gateway->ApplyListing({{}, MonotonicMs()});
   EXPECT_TRUE(caller.AwaitText(R"("ran":"no")"), "it was sent nowhere");
-  EXPECT_TRUE(Holds(caller.received(), "503"), caller.received());
-  EXPECT_NUMBER(0, world.upstreams[0]->seen().size(), "it has gone");
+  EXPECT_TRUE(Contains(caller.received(), "503"), caller.received());
+  EXPECT_NUMBER(0, fixture.upstreams[0]->seen().size(), "it has gone");
 }
 
 TEST_GROUP(GatewayEnds){};
@@ -466,17 +480,18 @@
 TEST(GatewayEnds, ServesARequestWhoseFirstBytesComeAsTheIdleTimeEnds) {
   // Both are ready at once when the process gets to them: the bytes come first, and the
   // idle time that was over is set anew.
-  World world;
-  world.limits.idle_timeout_ms = 100;
-  world.AddUpstream("u1", "plain",
-                    [](const SeenRequest&, const Peer& peer) { peer->Write(Answer("hello")); });
-  world.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
-  TestCaller caller(world.io, world.port);
-  RunFor(world.io, 20);
-  const std::string request = Request("GET /a/1");
+  Fixture fixture;
+  fixture.limits.idle_timeout_ms = 100;
+  fixture.AddUpstream("u1", "plain", [](const SeenRequest&, const Peer& peer) {
+    peer->Write(OkResponse("hello"));
+  });
+  fixture.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
+  TestCaller caller(fixture.io, fixture.port);
+  RunFor(fixture.io, 20);
+  const std::string request = MakeRequest("GET /a/1");
   caller.Send(request.substr(0, 10));
   usleep(200 * 1000);
-  RunFor(world.io, 20);
+  RunFor(fixture.io, 20);
   caller.Send(request.substr(10));
   EXPECT_TRUE(caller.AwaitText("hello"), "got " + caller.received());
 }
@@ -484,70 +499,70 @@
 TEST(GatewayEnds, SendsNothingForACallerThatLeftBeforeItsRequestWasRead) {
   // A process without processor time comes to a request and its caller's close at
   // the same moment.
-  World world;
-  world.AddUpstream("u1", "plain",
-                    [](const SeenRequest&, const Peer& peer) { peer->Write(Answer("late")); });
-  world.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
-  world.Ask(Request("GET /a/1"));
-  TestCaller caller(world.io, world.port);
-  caller.Send(Request("GET /a/2"));
+  Fixture fixture;
+  fixture.AddUpstream(
+      "u1", "plain", [](const SeenRequest&, const Peer& peer) { peer->Write(OkResponse("late")); });
+  fixture.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
+  fixture.Fetch(MakeRequest("GET /a/1"));
+  TestCaller caller(fixture.io, fixture.port);
+  caller.Send(MakeRequest("GET /a/2"));
   caller.Close();
-  RunFor(world.io, 200);
-  EXPECT_NUMBER(1, world.upstreams[0]->seen().size(), "a connection stood open to send it on");
-  EXPECT_NUMBER(1, world.gateway->counters().cancelled, "");
+  RunFor(fixture.io, 200);
+  EXPECT_NUMBER(1, fixture.upstreams[0]->seen().size(), "a connection stood open to send it on");
+  EXPECT_NUMBER(1, fixture.gateway->counters().cancelled, "");
 }
 
 TEST(GatewayEnds, TellsTheUpstreamWhenTheCallerHasGone) {
-  World world;
-  world.AddUpstream("u1", "engine", [](const SeenRequest&, const Peer& peer) {
-    peer->Write(StreamHead() + Event(1));
+  Fixture fixture;
+  fixture.AddUpstream("u1", "engine", [](const SeenRequest&, const Peer& peer) {
+    peer->Write(EventStreamHead() + EventChunk(1));
   });
-  world.Configure({MakeRoute("/s/", CallKind::kStream, "engine")});
-  TestCaller caller(world.io, world.port);
-  caller.Send(Request("POST /s/"));
+  fixture.Configure({MakeRoute("/s/", CallKind::kStream, "engine")});
+  TestCaller caller(fixture.io, fixture.port);
+  caller.Send(MakeRequest("POST /s/"));
   caller.AwaitText("id: 1");
   caller.Close();
-  EXPECT_TRUE(RunUntil(world.io, [&] { return world.upstreams[0]->closed_by_peer() == 1; }),
+  EXPECT_TRUE(RunUntil(fixture.io, [&] { return fixture.upstreams[0]->closed_by_peer() == 1; }),
               "the upstream's connection is closed at once");
 }
 
 TEST(GatewayEnds, AnswersAtTheRoutesTimeLimit) {
-  World world;
-  world.AddUpstream("u1", "plain", [](const SeenRequest&, const Peer&) {});
+  Fixture fixture;
+  fixture.AddUpstream("u1", "plain", [](const SeenRequest&, const Peer&) {});
   Route route = MakeRoute("/a/", CallKind::kOnce, "plain");
   route.timeout_ms = 60;
-  world.Configure({route});
-  const std::string answer = world.Ask(Request("POST /a/", "", "order"));
-  EXPECT_TRUE(Holds(answer, "504 ") && Holds(answer, "\"ran\":\"unknown\""), answer);
+  fixture.Configure({route});
+  const std::string answer = fixture.Fetch(MakeRequest("POST /a/", "", "order"));
+  EXPECT_TRUE(Contains(answer, "504 ") && Contains(answer, "\"ran\":\"unknown\""), answer);
 }
 
 TEST(GatewayEnds, TakesNoNewConnectionOnceTheBalancerKnowsOfTheStop) {
   // Found by a drawn day: a request taken 7 s after SIGTERM was given up when
   // the process ended.
   GatewayOptions options;
-  options.balancer_ms = 50;
-  World world(options);
+  options.balancer_delay_ms = 50;
+  Fixture fixture(options);
   Peer stream;
-  world.AddUpstream("u1", "engine", [&](const SeenRequest&, const Peer& peer) {
-    peer->Write(StreamHead("s") + Event(1));
+  fixture.AddUpstream("u1", "engine", [&](const SeenRequest&, const Peer& peer) {
+    peer->Write(EventStreamHead("s") + EventChunk(1));
     stream = peer;
   });
-  world.Configure({MakeRoute("/s/", CallKind::kStream, "engine")});
-  TestCaller caller(world.io, world.port);
-  caller.Send(KeptRequest("POST /s/", "s"));
+  fixture.Configure({MakeRoute("/s/", CallKind::kStream, "engine")});
+  TestCaller caller(fixture.io, fixture.port);
+  caller.Send(MakeKeepAliveRequest("POST /s/", "s"));
   caller.AwaitText("id: 1");
   bool is_stopped = false;
-  world.gateway->Stop(60000, [&] { is_stopped = true; });
-  TestCaller early(world.io, world.port);
+  fixture.gateway->Stop(60000, [&] { is_stopped = true; });
+  TestCaller early(fixture.io, fixture.port);
   EXPECT_TRUE(early.is_connected(), "the balancer has not noticed yet");
-  RunFor(world.io, 300);
-  TestCaller late(world.io, world.port);
+  RunFor(fixture.io, 300);
+  TestCaller late(fixture.io, fixture.port);
   EXPECT_TRUE(!late.is_connected(), "later connections go to other entries");
   EXPECT_TRUE(!is_stopped, "a stream is still under way");
-  stream->Write(Event(2) + "0\r\n\r\n");
+  stream->Write(EventChunk(2) + "0\r\n\r\n");
   EXPECT_TRUE(caller.AwaitText("0\r\n\r\n"), "it is finished");
   EXPECT_TRUE(caller.AwaitEnd(), "and its connection takes no further request");
-  EXPECT_TRUE(RunUntil(world.io, [&] { return is_stopped; }), "then the process may end");
+  EXPECT_TRUE(RunUntil(fixture.io, [&] { return is_stopped; }), "then the process may end");
 }
 
 }  // namespace junctionrail
--- a/test/store_return_test.cc
+++ b/test/store_return_test.cc
@@ -214,7 +214,7 @@
     boost::asio::io_context io;
     EventLog log{QuietLog()};
     GatewayOptions options;
-    options.callers = {"127.0.0.1", 0};
+    options.listen_endpoint = {"127.0.0.1", 0};
     Gateway gateway(io, options, log);
     const auto port = gateway.Listen().value();
     testing::ScriptedUpstream silent(
@@ -233,7 +233,7 @@
     gateway.ApplyListing(
         {{{"u1", "plain", silent.endpoint(), "hall-1", 8, false, {}}}, MonotonicMs()});
     int resumed = 0;
-    gateway.OnResumed([&] { ++resumed; });
+    gateway.OnVmResumed([&] { ++resumed; });
     testing::TestCaller caller(io, port);
     caller.Send(
         "POST /a/x HTTP/1.1\r\nHost: shop.example\r\nJunctionrail-Request-Id: r1\r\n"
--- a/test/support/gateway_world.h
+++ b/test/support/gateway_fixture.h
@@ -1,6 +1,6 @@
 // A gateway before scripted upstreams, and requests and answers as bytes.
-#ifndef JUNCTIONRAIL_TEST_SUPPORT_GATEWAY_WORLD_H_
-#define JUNCTIONRAIL_TEST_SUPPORT_GATEWAY_WORLD_H_
+#ifndef JUNCTIONRAIL_TEST_SUPPORT_GATEWAY_FIXTURE_H_
+#define JUNCTIONRAIL_TEST_SUPPORT_GATEWAY_FIXTURE_H_
 
 #include <memory>
 #include <string>
@@ -28,18 +28,19 @@
 }
 
 // A gateway before scripted upstreams.
-struct GatewayWorld {
-  explicit GatewayWorld(GatewayOptions given = {}, RetryBudget::Options retries = {1.0, 100, 10000})
+struct GatewayFixture {
+  explicit GatewayFixture(GatewayOptions given = {},
+                          RetryBudget::Options retries = {1.0, 100, 10000})
       : options(std::move(given)) {
-    options.callers = {"127.0.0.1", 0};
+    options.listen_endpoint = {"127.0.0.1", 0};
     options.data_hall = "hall-1";
     options.routing.data_hall = "hall-1";
-    options.retries = retries;
+    options.retry_budget = retries;
     gateway = std::make_unique<Gateway>(io, options, log);
     port = gateway->Listen().value();
   }
 
-  ~GatewayWorld() {
+  ~GatewayFixture() {
     gateway->Stop(0, [] {});
     RunFor(io, 100);
   }
@@ -60,7 +61,7 @@
     gateway->ApplyConfiguration(configuration);
   }
 
-  std::string Ask(const std::string& request) {
+  std::string Fetch(const std::string& request) {
     TestCaller caller(io, port);
     caller.Send(request);
     caller.AwaitEnd();
@@ -77,40 +78,40 @@
   std::uint16_t port = 0;
 };
 
-inline std::string Request(const std::string& line, const std::string& fields = "",
-                           const std::string& body = "") {
+inline std::string MakeRequest(const std::string& line, const std::string& fields = "",
+                               const std::string& body = "") {
   return line + " HTTP/1.1\r\nHost: shop.example\r\nJunctionrail-Request-Id: r1\r\n" + fields +
          (body.empty() ? "" : "Content-Length: " + std::to_string(body.size()) + "\r\n") +
          "Connection: close\r\n\r\n" + body;
 }
 
-inline std::string KeptRequest(const std::string& line, const std::string& id) {
+inline std::string MakeKeepAliveRequest(const std::string& line, const std::string& id) {
   return line + " HTTP/1.1\r\nHost: shop.example\r\nJunctionrail-Request-Id: " + id + "\r\n\r\n";
 }
 
-inline std::string Answer(const std::string& body, const std::string& id = "r1") {
+inline std::string OkResponse(const std::string& body, const std::string& id = "r1") {
   return "HTTP/1.1 200 OK\r\nJunctionrail-Request-Id: " + id +
          "\r\nJunctionrail-Proof: p\r\nContent-Length: " + std::to_string(body.size()) +
          "\r\n\r\n" + body;
 }
 
-inline std::string StreamHead(const std::string& id = "r1") {
+inline std::string EventStreamHead(const std::string& id = "r1") {
   return "HTTP/1.1 200 OK\r\nJunctionrail-Request-Id: " + id +
          "\r\nJunctionrail-Proof: p\r\nContent-Type: text/event-stream\r\n"
          "Transfer-Encoding: chunked\r\n\r\n";
 }
 
-inline std::string Event(int id) {
+inline std::string EventChunk(int id) {
   const std::string text = "id: " + std::to_string(id) + "\ndata: x\n\n";
   char size[16];
   std::snprintf(size, sizeof(size), "%zx", text.size());
   return std::string(size) + "\r\n" + text + "\r\n";
 }
 
-inline bool Holds(const std::string& text, const std::string& part) {
+inline bool Contains(const std::string& text, const std::string& part) {
   return text.find(part) != std::string::npos;
 }
 
 }  // namespace junctionrail::testing
 
-#endif  // JUNCTIONRAIL_TEST_SUPPORT_GATEWAY_WORLD_H_
+#endif  // JUNCTIONRAIL_TEST_SUPPORT_GATEWAY_FIXTURE_H_
--- a/test/upstream_notices_test.cc
+++ b/test/upstream_notices_test.cc
@@ -5,7 +5,7 @@
 #include <memory>
 
 #include "check.h"
-#include "gateway_world.h"
+#include "gateway_fixture.h"
 #include "junctionrail/tenancy.h"
 #include "loopback.h"
 #include "platform.h"
@@ -14,10 +14,10 @@
 namespace junctionrail {
 namespace {
 
-using testing::Holds;
+using testing::Contains;
+using testing::MakeRequest;
 using testing::MakeRoute;
 using testing::QuietLog;
-using testing::Request;
 using testing::RunFor;
 using testing::RunUntil;
 using testing::ScriptedUpstream;
@@ -45,11 +45,11 @@
   explicit Entries(int n) {
     for (int k = 0; k < n; ++k) {
       GatewayOptions options;
-      options.callers = {"127.0.0.1", 0};
+      options.listen_endpoint = {"127.0.0.1", 0};
       options.data_hall = "hall-1";
       options.routing.data_hall = "hall-1";
-      options.retries = {1.0, 100, 10000};
-      options.entry = "entry-" + std::to_string(k);
+      options.retry_budget = {1.0, 100, 10000};
+      options.entry_id = "entry-" + std::to_string(k);
       options.read_notice = platform::ReadNotice;
       gateways.push_back(std::make_unique<Gateway>(io, options, log));
       ports.push_back(gateways.back()->Listen().value());
@@ -94,12 +94,12 @@
   // A caller of entry `n` that need not be answered before the next one.
   void Call(std::size_t n, const std::string& line = "GET /a/", const std::string& fields = "") {
     callers.push_back(std::make_unique<TestCaller>(io, ports[n % ports.size()]));
-    callers.back()->Send(Request(line, fields));
+    callers.back()->Send(MakeRequest(line, fields));
   }
 
   std::int64_t CountServed() const {
     return std::count_if(callers.begin(), callers.end(),
-                         [](const auto& it) { return Holds(it->received(), "200 OK"); });
+                         [](const auto& it) { return Contains(it->received(), "200 OK"); });
   }
 
   boost::asio::io_context io;
@@ -175,16 +175,16 @@
   const auto call = [&] {
     world.Call(0);
     TestCaller& caller = *world.callers.back();
-    RunUntil(world.io, [&] { return Holds(caller.received(), "\r\n\r\n"); });
+    RunUntil(world.io, [&] { return Contains(caller.received(), "\r\n\r\n"); });
     return caller.received();
   };
-  EXPECT_TRUE(Holds(call(), "200 OK"), "the first answer names the limit");
+  EXPECT_TRUE(Contains(call(), "200 OK"), "the first answer names the limit");
   const std::string refusal = call();
-  EXPECT_TRUE(Holds(refusal, "503 ") && Holds(refusal, "\"ran\":\"no\""), refusal);
-  EXPECT_TRUE(Holds(refusal, "Retry-After"), "with the time at which it is served");
+  EXPECT_TRUE(Contains(refusal, "503 ") && Contains(refusal, "\"ran\":\"no\""), refusal);
+  EXPECT_TRUE(Contains(refusal, "Retry-After"), "with the time at which it is served");
   EXPECT_NUMBER(1, calls, "nothing is left of two a second so soon");
   is_in_need = false;
-  EXPECT_TRUE(RunUntil(world.io, [&] { return Holds(call(), "200 OK"); }), "its share came");
+  EXPECT_TRUE(RunUntil(world.io, [&] { return Contains(call(), "200 OK"); }), "its share came");
   const int before = calls;
   for (int n = 0; n < 8; ++n) call();
   EXPECT_NUMBER(before + 8, calls, "it takes as many as come");
@@ -248,14 +248,14 @@
   });
   world.Call(0);
   TestCaller& first = *world.callers.back();
-  EXPECT_TRUE(RunUntil(world.io, [&] { return Holds(first.received(), "\"ran\":\"no\""); }),
+  EXPECT_TRUE(RunUntil(world.io, [&] { return Contains(first.received(), "\"ran\":\"no\""); }),
               "it is refused");
-  EXPECT_TRUE(
-      Holds(first.received(), "Retry-After: 30.0") || Holds(first.received(), "Retry-After: 29.9"),
-      first.received());
+  EXPECT_TRUE(Contains(first.received(), "Retry-After: 30.0") ||
+                  Contains(first.received(), "Retry-After: 29.9"),
+              first.received());
   world.Call(0);
   TestCaller& second = *world.callers.back();
-  EXPECT_TRUE(RunUntil(world.io, [&] { return Holds(second.received(), "503 "); }),
+  EXPECT_TRUE(RunUntil(world.io, [&] { return Contains(second.received(), "503 "); }),
               "the next is refused at once");
   EXPECT_NUMBER(1, calls, "and sent nowhere");
 }
@@ -272,7 +272,7 @@
   world.AddUpstream("u1", script, "engine");
   world.Call(0, "POST /m/", "Junctionrail-Model: a\r\n");
   TestCaller& caller = *world.callers.back();
-  EXPECT_TRUE(RunUntil(world.io, [&] { return Holds(caller.received(), "200 OK"); }),
+  EXPECT_TRUE(RunUntil(world.io, [&] { return Contains(caller.received(), "200 OK"); }),
               caller.received());
   EXPECT_NUMBER(2, got.size(), "it was sent again");
   EXPECT_TRUE(got.at(1) - got.at(0) >= kRestMs, "after the rest");
