--- a/bench/bench_direct.cc
+++ b/bench/bench_direct.cc
@@ -24,7 +24,7 @@
   view.instance = "instance-" + std::to_string(n);
   for (int i = 0; i < 3; ++i)
     view.loaded.push_back({ModelName((n * 3 + i) % models), {"a1", "a2"}});
-  for (int i = 0; i < 12; ++i) view.at_hand.push_back(ModelName((n * 7 + i) % models));
+  for (int i = 0; i < 12; ++i) view.cached_models.push_back(ModelName((n * 7 + i) % models));
   view.running = 20;
   return view;
 }
@@ -57,7 +57,7 @@
   const double view_us = MicrosecondsSince(start) / engines;
   for (int n = 0; n < models; ++n) table.OnArrival(ModelRef{ModelName(n), {}}, 1, 300, now);
   start = Clock::now();
-  const auto demands = table.Demands({}, now);
+  const auto demands = table.BuildDemands({}, now);
   const double demands_us = MicrosecondsSince(start);
   constexpr int kChoices = 200;
   start = Clock::now();
--- a/include/junctionrail/listing.h
+++ b/include/junctionrail/listing.h
@@ -35,11 +35,11 @@
   bool is_leaving = false;
   std::vector<LoadedModel> loaded;  // Engines; lags.
   std::int64_t generation = 0;      // Higher for a record made later.
-  // Not in the last reading, but it may only have lapsed; see LapsedRecords.
+  // Not in the last reading, but it may only have lapsed; see ExpiredRecordKeeper.
   bool is_missing = false;
   // What it calls itself, which may be the same after a start; empty: as `instance`.
   std::string id = {};
-  std::int64_t born_ms = 0;  // Its start, since 1970; 0: it does not tell.
+  std::int64_t started_unix_ms = 0;  // Its start, since 1970; 0: it does not tell.
   // Its record cannot be read: it is there, but for no new request.
   bool is_unreadable = false;
 
@@ -48,7 +48,7 @@
 
 // Leaves out records whose address a later one has: the upstream behind them
 // has ended, and its record only has not lapsed yet.
-std::vector<UpstreamRecord> KeepLatestAtEachAddress(std::vector<UpstreamRecord> records);
+std::vector<UpstreamRecord> KeepLatestAtEachEndpoint(std::vector<UpstreamRecord> records);
 
 // One reading of the platform's list of upstreams.
 struct UpstreamListing {
@@ -61,29 +61,29 @@
 // store that may be slow, away, or deaf on some connections. A call that is not
 // answered soon is made again beside it, and the answer to the latest call counts:
 // one call without an answer costs a quarter of a second, not its whole time limit.
-class ReadingSchedule {
+class PollSchedule {
  public:
-  struct Call {
+  struct Poll {
     std::uint64_t number = 0;
     TimeMs begun_at = 0;
     // An earlier one has no answer yet: its connection may be dead.
-    bool is_repeated = false;
+    bool is_retry = false;
   };
 
   // `period_ms`: from the beginning of a reading to that of the next.
-  explicit ReadingSchedule(DurationMs period_ms) : period_ms_(period_ms) {}
+  explicit PollSchedule(DurationMs period_ms) : period_ms_(period_ms) {}
   void SetPeriod(DurationMs period_ms) { period_ms_ = period_ms; }
 
   // When the next call is to begin, whatever has become of the others.
   TimeMs NextAt() const { return next_at_; }
-  Call Begin(TimeMs now);
+  Poll Begin(TimeMs now);
   // False: a later call was answered before, so this answer is out of date. A call that
   // fails needs no word: the next one is due.
-  bool OnAnswer(const Call& call, TimeMs now);
+  bool OnAnswer(const Poll& poll, TimeMs now);
   // What was in touch with the store by other means lost it.
-  void OnLost(TimeMs now);
+  void OnConnectionLost(TimeMs now);
   // The next call begins at `at`, unless it is due before. Never puts it off.
-  void ReadBy(TimeMs at);
+  void PollBy(TimeMs at);
 
   // When the last call began; 0: none has.
   TimeMs begun_at() const { return begun_at_; }
@@ -96,7 +96,7 @@
   bool was_unreadable() const { return was_unreadable_; }
 
  private:
-  DurationMs Patience() const;
+  DurationMs RetryDelay() const;
 
   DurationMs period_ms_;
   TimeMs next_at_ = 0;
@@ -111,7 +111,7 @@
 
 // Adds to readings of the list what they lack only because it lapsed: while the
 // platform's store is away no upstream can write its record.
-class LapsedRecords {
+class ExpiredRecordKeeper {
  public:
   // Upstreams write their records anew so often.
   void SetWritePeriod(DurationMs write_period_ms) { write_period_ms_ = write_period_ms; }
@@ -119,25 +119,25 @@
   // The records of a reading that began at `as_of`, and with them, marked as missing,
   // those that may yet come back. `was_unreadable`: the list could not be read at
   // some time since the reading before.
-  std::vector<UpstreamRecord> Complete(std::vector<UpstreamRecord> read, bool was_unreadable,
-                                       TimeMs as_of, TimeMs now);
+  std::vector<UpstreamRecord> AddExpired(std::vector<UpstreamRecord> read, bool was_unreadable,
+                                         TimeMs as_of, TimeMs now);
   // The store came back from an older copy: whatever the next reading lacks may only not
   // have been written again yet.
   void OnNewEra() { is_new_era_ = true; }
   // Takes what another entry believes, before the first reading of our own.
-  std::vector<UpstreamRecord> Take(std::vector<UpstreamRecord> told);
+  std::vector<UpstreamRecord> Seed(std::vector<UpstreamRecord> told);
   // When the list is to be read for those that are missing: then they are back, or
   // they have left. None while nothing is missing.
-  std::optional<TimeMs> RestoredAt() const {
-    return has_missing_ ? std::optional<TimeMs>(restored_at_) : std::nullopt;
+  std::optional<TimeMs> RecheckAt() const {
+    return has_missing_ ? std::optional<TimeMs>(recheck_at_) : std::nullopt;
   }
 
  private:
   DurationMs write_period_ms_ = 1200;
-  std::vector<UpstreamRecord> told_;
-  TimeMs read_as_of_ = 0;  // 0: never read.
+  std::vector<UpstreamRecord> known_records_;
+  TimeMs last_read_as_of_ = 0;  // 0: never read.
   bool is_new_era_ = false;
-  TimeMs restored_at_ = 0;  // Of the last outage.
+  TimeMs recheck_at_ = 0;  // Of the last outage.
   bool has_missing_ = false;
 };
 
--- a/include/junctionrail/placement.h
+++ b/include/junctionrail/placement.h
@@ -160,7 +160,7 @@
   TimeMs wants_at_ = 0;
   std::map<ModelRef, TimeMs> adapter_used_at_;
   TimeMs hold_until_ = 0;  // No order before; set after a conflict.
-  std::optional<StoreWant> store_want_;
+  std::optional<StoreLoadRequest> store_want_;
   TimeMs store_want_since_ = 0;  // 0: none is wanted.
 };
 
--- a/src/daemon/direct_entry.cc
+++ b/src/daemon/direct_entry.cc
@@ -275,7 +275,7 @@
       return true;
     }
     const auto view = views_.find(instance);
-    const bool is_relay = view != views_.end() && view->second.relays_ends &&
+    const bool is_relay = view != views_.end() && view->second.relays_upstream_ends &&
                           gateway_.upstreams().HasFreshView(instance, MonotonicMs());
     if (!is_relay) return false;
     links_.Send(instance, sent->second.to, EncodeEnd(end));
@@ -508,9 +508,9 @@
         std::max(kRepeatDemandMs, kRepeatDemandEachMs * static_cast<DurationMs>(demands.size()));
     for (auto& [instance, demand] : demands) {
       demand.entry = settings_.id;
-      demand.takes_updates = true;
-      demand.takes_ends = true;
-      demand.repeat_ms = repeat_ms;
+      demand.accepts_view_updates = true;
+      demand.wants_upstream_ends = true;
+      demand.resend_interval_ms = repeat_ms;
       const UpstreamRecord* upstream = gateway_.upstreams().Find(instance);
       if (upstream == nullptr || reopen_at_.count(instance) > 0) continue;
       Sent& sent = sent_[instance];
--- a/src/daemon/engine_keeper.cc
+++ b/src/daemon/engine_keeper.cc
@@ -83,7 +83,7 @@
   std::vector<UpstreamRecord> present;
   std::copy_if(listing.begin(), listing.end(), std::back_inserter(present),
                [this](const UpstreamRecord& it) { return it.instance != replaced_; });
-  for (const auto& it : KeepLatestAtEachAddress(std::move(present))) {
+  for (const auto& it : KeepLatestAtEachEndpoint(std::move(present))) {
     const bool is_ours = it.endpoint == options_.engine;
     if (!is_ours || (it.is_leaving && it.instance != core_.instance())) continue;
     is_listed = true;
@@ -94,7 +94,7 @@
     log_.Write(MonotonicMs(), "engine_found", {{"instance", it.instance}});
     core_.Reset(it.instance);
     engine_id_ = it.WireId();
-    born_ms_ = it.born_ms;
+    born_ms_ = it.started_unix_ms;
     AskReportSoon();
   }
   if (!is_listed && has_engine_) callbacks_.list_soon();
@@ -119,9 +119,9 @@
   const bool has_work = !demand.wanted.empty() || !demand.stage.empty();
   OpenLink& open = links_[link];
   open.entry = demand.entry;
-  quotas_.OnHeard(demand.entry, demand.repeat_ms, MonotonicMs());
-  const bool is_to_catch_up = demand.takes_ends && !open.takes_ends;
-  open.takes_ends = demand.takes_ends;
+  quotas_.OnHeard(demand.entry, demand.resend_interval_ms, MonotonicMs());
+  const bool is_to_catch_up = demand.wants_upstream_ends && !open.takes_ends;
+  open.takes_ends = demand.wants_upstream_ends;
   if (is_to_catch_up) {
     for (const auto& it : quarantine_.Recent(MonotonicMs())) callbacks_.send(link, EncodeEnd(it));
   }
@@ -277,8 +277,8 @@
   const bool is_new = view.instance != sent_view_.instance;
   const ViewParts changed = ChangedParts(sent_view_, view);
   const bool is_due = is_new || now - repeated_at_ >= kRepeatViewMs;
-  const bool has_news =
-      !changed.IsEmpty() || view.store_want.has_value() != sent_view_.store_want.has_value();
+  const bool has_news = !changed.IsEmpty() || view.store_load_request.has_value() !=
+                                                  sent_view_.store_load_request.has_value();
   if (!has_news && !is_due) return;
   const std::vector<std::string> gone = GoneModels(sent_view_, view);
   if (is_due) repeated_at_ = now;
--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -70,7 +70,8 @@
   const auto over = gateway_.quotas.RefuseIfOver(organisation_, amount_, request_.arrived_at);
   if (over) return RefuseOverQuota(*over);
   gateway_.retries.OnRequest(service_, request_.arrived_at);
-  gateway_.upstreams.OnArrival(model_, priority_, route_->first_answer_ms, request_.arrived_at);
+  gateway_.upstreams.OnArrival(model_, priority_, route_->first_byte_target_ms,
+                               request_.arrived_at);
   Attempt();
 }
 
@@ -100,8 +101,8 @@
   }
   end_at_ = request_.arrived_at + std::min<std::int64_t>(deadline_ms, route_->timeout_ms);
   patience_at_ = end_at_;
-  if (route_->patience_ms > 0) {
-    patience_at_ = std::min(patience_at_, request_.arrived_at + route_->patience_ms);
+  if (route_->caller_timeout_ms > 0) {
+    patience_at_ = std::min(patience_at_, request_.arrived_at + route_->caller_timeout_ms);
   }
   const ServiceSpec* service = routes_->configuration().FindService(service_);
   const std::string* model = FindField(request_.fields, names.model);
@@ -120,13 +121,13 @@
   if (now >= end_at_) return GiveUp(SoFar(), "deadline");
   if (quota_ticket_ != 0 || share_ticket_ != 0 || !MayUseKey()) return;
   if (StandingNow() == Standing::kRefused) return RefuseAsDeadly();
-  const Pick choice = Choose(now);
+  const PickResult choice = Choose(now);
   if (const auto* to = std::get_if<SendTo>(&choice)) {
     if (MayUseQuota() && MayUseShare(to->instance)) Send(to->instance);
     return;
   }
   if (const auto* wait = std::get_if<WaitFor>(&choice)) return WaitForModel(*wait);
-  GiveUp(SoFar(), std::get<NoneLeft>(choice).reason);
+  GiveUp(SoFar(), std::get<NoUpstream>(choice).reason);
 }
 
 // Worked out only while there is something to compare it with, as it reads the whole body.
@@ -178,7 +179,7 @@
   gateway_.WakeSuspects();
 }
 
-Pick Exchange::Choose(TimeMs now) {
+PickResult Exchange::Choose(TimeMs now) {
   PickRequest request;
   request.service = service_;
   request.model = model_;
@@ -190,12 +191,12 @@
     // One try at a time, as its callers may send it several times at once.
     const auto other_try = is_suspect && model_ ? gateway_.probation.Find(Digest()) : std::nullopt;
     if (other_try) return WaitFor{*other_try, kOtherTryMs, "alone", 0};
-    auto& besides = is_suspect ? request.taken : request.risky;
+    auto& besides = is_suspect ? request.occupied : request.risky;
     besides = is_suspect ? gateway_.probation.TakenBesides(Digest()) : gateway_.probation.Taken();
   }
-  Pick pick = gateway_.upstreams.Choose(request, now);
-  const auto* none = std::get_if<NoneLeft>(&pick);
-  opens_in_ms_ = none == nullptr ? 0 : none->retry_ms;
+  PickResult pick = gateway_.upstreams.Choose(request, now);
+  const auto* none = std::get_if<NoUpstream>(&pick);
+  opens_in_ms_ = none == nullptr ? 0 : none->retry_after_ms;
   return pick;
 }
 
@@ -251,7 +252,7 @@
   // has left, however late this process comes to its request.
   const auto sink = sink_.lock();
   if (!sink || sink->HasLeft()) return Finish("cancelled", 0);
-  CheckInvariant(route_->MayRepeat() || ran_attempts_ == 0,
+  CheckInvariant(route_->IsRetryable() || ran_attempts_ == 0,
                  "a request that may not be repeated is sent on only if it has not run");
   if (is_parked_) {
     is_parked_ = false;
@@ -316,7 +317,7 @@
   const bool is_key_good =
       !key_ || (KeyHolder() != nullptr && gateway_.MayTrustKeys(MonotonicMs()));
   const bool is_upstream_good = gateway_.upstreams.IsListed(instance_) &&
-                                !gateway_.upstreams.IsResting(instance_, MonotonicMs());
+                                !gateway_.upstreams.IsBackingOff(instance_, MonotonicMs());
   return sink && !sink->HasLeft() && is_key_good && is_upstream_good;
 }
 
@@ -329,9 +330,9 @@
     gateway_.crashes.OnBroken(instance_, upstream->endpoint, attempt_at_, MonotonicMs());
   }
   // An upstream from which a request was withheld has shown no fault.
-  EndAttempt(was_sent                                ? AttemptEnd::kFailed
-             : failure == UpstreamFailure::kWithheld ? AttemptEnd::kRefused
-                                                     : AttemptEnd::kUnreachable);
+  EndAttempt(was_sent                                ? AttemptOutcome::kFailed
+             : failure == UpstreamFailure::kWithheld ? AttemptOutcome::kRefused
+                                                     : AttemptOutcome::kUnreachable);
   if (!was_sent) {
     --ran_attempts_;
     --sent_attempts_;
@@ -340,13 +341,13 @@
   AfterAttempt(was_sent ? Ran::kMaybe : Ran::kNo, was_sent, reason);
 }
 
-void Exchange::EndAttempt(AttemptEnd end) {
+void Exchange::EndAttempt(AttemptOutcome end) {
   const TimeMs now = MonotonicMs();
-  const bool is_in_vain = end == AttemptEnd::kSilent || end == AttemptEnd::kAbandoned;
+  const bool is_in_vain = end == AttemptOutcome::kTimedOut || end == AttemptOutcome::kCallerLeft;
   if (model_ && is_in_vain && !is_begun_) {
     gateway_.upstreams.OnFirstEvent(*model_, now - attempt_at_);
   }
-  gateway_.upstreams.OnEnd(instance_, model_, end, now);
+  gateway_.upstreams.OnAttemptEnd(instance_, model_, end, now);
   gateway_.crashes.Over(instance_, this);
   if (std::exchange(was_alone_, false)) {
     gateway_.probation.Leave(instance_, Digest());
@@ -378,7 +379,7 @@
 
 // Takes one attempt from the retry budget.
 bool Exchange::PayForAnother(TimeMs now) {
-  if (gateway_.retries.TryTake(service_, now)) {
+  if (gateway_.retries.TryConsume(service_, now)) {
     ++gateway_.counters.retries;
     return true;
   }
@@ -397,14 +398,14 @@
   const TimeMs now = MonotonicMs();
   if (now >= end_at_ || sink_.expired()) return false;
   const bool may_have_run = ran == Ran::kMaybe || ran_attempts_ > 0;
-  if (may_have_run && (!route_->MayRepeat() || ran_attempts_ >= route_->max_attempts)) {
+  if (may_have_run && (!route_->IsRetryable() || ran_attempts_ >= route_->max_attempts)) {
     return false;
   }
   const int unrun = sent_attempts_ - ran_attempts_ + unsent_attempts_;
   if (unrun > kMostUnrun) return false;
   if (may_have_run || was_sent) {
-    const Pick choice = Choose(now);
-    if (std::holds_alternative<NoneLeft>(choice)) return false;
+    const PickResult choice = Choose(now);
+    if (std::holds_alternative<NoUpstream>(choice)) return false;
     // Events were delivered: no load can be waited for.
     if (is_begun_ && !std::holds_alternative<SendTo>(choice)) return false;
     if (!PayForAnother(now)) return false;
@@ -432,7 +433,7 @@
   if (is_finished_) return;
   if (call_) {
     call_->Cancel();
-    EndAttempt(AttemptEnd::kAbandoned);
+    EndAttempt(AttemptOutcome::kCallerLeft);
   }
   Finish("cancelled", 0);
 }
@@ -449,7 +450,7 @@
   if (is_finished_) return;
   if (call_) {
     call_->Cancel();
-    EndAttempt(AttemptEnd::kAbandoned);
+    EndAttempt(AttemptOutcome::kCallerLeft);
   }
   GiveUp(SoFar(), "this process ends");
 }
@@ -458,13 +459,14 @@
 // as long as it has.
 DurationMs Exchange::SilenceLimit() const {
   if (!gateway_.upstreams.policy().leaves_silent) return 0;
-  if (!call_ || !route_->MayRepeat() || ran_attempts_ >= route_->max_attempts) return 0;
-  const bool is_stream = route_->kind == CallKind::kStream;
+  if (!call_ || !route_->IsRetryable() || ran_attempts_ >= route_->max_attempts) return 0;
+  const bool is_stream = route_->kind == RequestKind::kStreaming;
   if (is_begun_)
-    return static_cast<DurationMs>(kSilentPauses * static_cast<double>(route_->pause_ms));
+    return static_cast<DurationMs>(kSilentPauses *
+                                   static_cast<double>(route_->stream_gap_target_ms));
   const double targets = is_stream ? kSilentStreamTargets : kSilentTargets;
   const auto limit =
-      static_cast<DurationMs>(targets * static_cast<double>(route_->first_answer_ms));
+      static_cast<DurationMs>(targets * static_cast<double>(route_->first_byte_target_ms));
   return std::max(kLeastSilenceMs, limit);
 }
 
@@ -484,7 +486,7 @@
   if (now >= end_at_) {
     if (call_) {
       call_->Cancel();
-      EndAttempt(AttemptEnd::kSilent);
+      EndAttempt(AttemptOutcome::kTimedOut);
     }
     return GiveUp(SoFar(), "no answer within its time");
   }
@@ -499,13 +501,13 @@
   if (silence > 0 && now - heard_at_ >= silence) {
     // Only where another upstream can take it and the budget has an attempt
     // left; else the wait goes on.
-    const Pick choice = Choose(now);
+    const PickResult choice = Choose(now);
     const auto* to = std::get_if<SendTo>(&choice);
     // One with a limit may have nothing left of it.
     const bool is_free = to != nullptr && !gateway_.upstreams.LimitOf(to->instance);
     if (is_free && PayForAnother(now)) {
       call_->Cancel();
-      EndAttempt(AttemptEnd::kSilent);
+      EndAttempt(AttemptOutcome::kTimedOut);
       LogAttempt(Ran::kMaybe, "silent");
       return SendElsewhere();
     }
--- a/src/gateway/exchange.h
+++ b/src/gateway/exchange.h
@@ -62,8 +62,8 @@
   const std::string& service() const { return service_; }
   const std::string& asked() const { return asked_; }
   int priority() const { return priority_; }
-  DurationMs target_ms() const { return route_->first_answer_ms; }
-  TimeMs late_at() const { return request_.arrived_at + route_->first_answer_ms; }
+  DurationMs target_ms() const { return route_->first_byte_target_ms; }
+  TimeMs late_at() const { return request_.arrived_at + route_->first_byte_target_ms; }
   TimeMs parked_since() const { return parked_since_; }
   TimeMs attempt_at() const { return attempt_at_; }  // When the last attempt began.
   bool IsSuspect();
@@ -100,7 +100,7 @@
   void RefuseOverQuota(const QuotaTaker::Verdict& verdict);
   void GiveQuotaBack();
   void Attempt();
-  Pick Choose(TimeMs now);
+  PickResult Choose(TimeMs now);
   const RequestDigest& Digest();
   Standing StandingNow();
   void RefuseAsDeadly();
@@ -114,7 +114,7 @@
   bool PayForAnother(TimeMs now);
   void LogAttempt(Ran ran, std::string_view reason) const;
   void SendElsewhere();
-  void EndAttempt(AttemptEnd end);
+  void EndAttempt(AttemptOutcome end);
   void RelayEvents();
   void NoteEvent();
   void NotePause();
--- a/src/gateway/exchange_access.cc
+++ b/src/gateway/exchange_access.cc
@@ -177,9 +177,9 @@
 
 void Exchange::NoteLimitReached(const std::string& instance, DurationMs retry_ms) {
   ++gateway_.counters.held_by_limits;
-  UpstreamTerms* terms = gateway_.upstreams.FindTerms(instance);
+  UpstreamThrottle* terms = gateway_.upstreams.FindThrottle(instance);
   if (terms == nullptr) return;
-  terms->OnLimitReached(MonotonicMs() + std::max(retry_ms, kLeastLimitRetryMs));
+  terms->OnLimitExhausted(MonotonicMs() + std::max(retry_ms, kLeastLimitRetryMs));
 }
 
 void Exchange::RefuseOverQuota(const QuotaTaker::Verdict& verdict) {
--- a/src/gateway/exchange_answer.cc
+++ b/src/gateway/exchange_answer.cc
@@ -29,14 +29,14 @@
 
 void Exchange::OnHead(UpstreamHead head) {
   heard_at_ = MonotonicMs();
-  gateway_.upstreams.OnHeard(instance_, heard_at_);
+  gateway_.upstreams.OnResponseData(instance_, heard_at_);
   gateway_.crashes.OnHeard(instance_, heard_at_);
   // Such an answer may be that of another instance at the address.
   if (head.status != kMisdirected) gateway_.OnAnswer(instance_, head, attempt_at_);
   const CallHeaderNames& names = gateway_.options.names;
   const bool is_success = head.status / 100 == 2;
   const std::string* type = FindField(head.fields, "Content-Type");
-  is_event_answer_ = is_success && route_->kind == CallKind::kStream &&
+  is_event_answer_ = is_success && route_->kind == RequestKind::kStreaming &&
                      (type == nullptr || type->find("event-stream") != std::string::npos);
   const bool is_not_run =
       FindField(head.fields, names.not_run) != nullptr || head.status == kMisdirected;
@@ -45,7 +45,7 @@
   const bool is_sealed = FindField(head_->fields, names.proof) != nullptr;
   if (is_success && !is_sealed) {
     call_->Cancel();
-    EndAttempt(AttemptEnd::kFailed);
+    EndAttempt(AttemptOutcome::kFailed);
     return AfterAttempt(Ran::kMaybe, true, "the answer has no seal");
   }
   Arm();
@@ -59,25 +59,25 @@
   if (head.status == kMisdirected) {
     const std::string* other = FindField(head.fields, names.instance);
     if (other != nullptr && *other != upstream_id_) {
-      gateway_.upstreams.OnOtherInstance(instance_);
+      gateway_.upstreams.OnInstanceReplaced(instance_);
       gateway_.crashes.OnEnded(instance_, "other_instance", now);
       reason = "another instance has the address";
     } else if (model_) {
-      gateway_.upstreams.OnNotLoaded(instance_, *model_, now);
+      gateway_.upstreams.OnModelNotLoaded(instance_, *model_, now);
       reason = "the model is not loaded there";
       // It may be the right one again once the model is loaded.
       tried_.pop_back();
     }
-  } else if (gateway_.upstreams.IsResting(instance_, now)) {
+  } else if (gateway_.upstreams.IsBackingOff(instance_, now)) {
     reason = "it asks for a rest";
-    opens_in_ms_ = gateway_.upstreams.FindTerms(instance_)->OpensAt() - now;
+    opens_in_ms_ = gateway_.upstreams.FindThrottle(instance_)->AvailableAt() - now;
     // It may be the right one again after it.
     if (model_) tried_.pop_back();
   } else if (model_ && head.status == kUnavailable) {
     reason = "full, or an order on the model is under way";
   }
   call_->Cancel();
-  EndAttempt(AttemptEnd::kRefused);
+  EndAttempt(AttemptOutcome::kRefused);
   --ran_attempts_;
   AfterAttempt(Ran::kNo, true, reason);
 }
@@ -132,10 +132,10 @@
   NoteHarmless();
   if (!is_event_answer_) return RelayWhole();
   if (!events_.tail().empty()) {
-    EndAttempt(AttemptEnd::kFailed);
+    EndAttempt(AttemptOutcome::kFailed);
     return AfterAttempt(Ran::kMaybe, true, "the stream ended within an event");
   }
-  EndAttempt(AttemptEnd::kServed);
+  EndAttempt(AttemptOutcome::kServed);
   const auto sink = sink_.lock();
   if (!sink) return;
   if (!is_begun_) RelayEvents();
@@ -150,7 +150,7 @@
   // upstream's own word nobody knows that.
   const bool is_false_promise =
       status == kUnavailable || status == kTooMany || status == kRequestTimeout;
-  EndAttempt(status >= 500 ? AttemptEnd::kFailed : AttemptEnd::kServed);
+  EndAttempt(status >= 500 ? AttemptOutcome::kFailed : AttemptOutcome::kServed);
   if (is_false_promise) {
     return AfterAttempt(Ran::kMaybe, true, "status " + std::to_string(status));
   }
@@ -226,7 +226,7 @@
                       {"attempts", static_cast<std::int64_t>(sent_attempts_)},
                       {"events", static_cast<std::int64_t>(events_.events())},
                       {"waited_ms", waited_ms_},
-                      {"target_ms", route_ != nullptr ? route_->first_answer_ms : 0},
+                      {"target_ms", route_ != nullptr ? route_->first_byte_target_ms : 0},
                       {"first_ms", first_at_ > 0 ? first_at_ - request_.arrived_at : -1},
                       {"pause_ms", longest_pause_ms_},
                       {"total_ms", now - request_.arrived_at},
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -35,15 +35,15 @@
 // Later than any moment of a process.
 constexpr TimeMs kNeverLate = 1LL << 60;
 
-std::string_view EventName(ListingNews news) {
+std::string_view EventName(UpstreamChangeKind news) {
   switch (news) {
-    case ListingNews::kListed:
+    case UpstreamChangeKind::kListed:
       return "upstream_listed";
-    case ListingNews::kLeaving:
+    case UpstreamChangeKind::kLeaving:
       return "upstream_leaving";
-    case ListingNews::kMissing:
+    case UpstreamChangeKind::kMissing:
       return "upstream_missing";
-    case ListingNews::kGone:
+    case UpstreamChangeKind::kGone:
       return "upstream_gone";
   }
   return "upstream_listed";
@@ -121,7 +121,7 @@
     if (ec) return;
     self->NoteSuspension();
     const TimeMs now = MonotonicMs();
-    self->retries.SetEntries(std::max(kEntriesAssumed, self->upstreams.Entries(now)));
+    self->retries.SetEntries(std::max(kEntriesAssumed, self->upstreams.CountEntries(now)));
     self->pool.CloseIdle(now, [&](const std::string& instance) {
       return self->upstreams.Find(instance) != nullptr;
     });
@@ -129,7 +129,7 @@
     self->crashes.Expire(now);
     self->quarantine.Expire(now);
     self->NoteRefused();
-    self->quotas.SetEntries(self->upstreams.Entries(now), now);
+    self->quotas.SetEntries(self->upstreams.CountEntries(now), now);
     self->quotas.KeepUpstreams(
         [&](const std::string& instance) { return self->upstreams.LimitOf(instance).has_value(); });
     self->SendQuotaMessages();
@@ -204,7 +204,7 @@
     const bool is_concerned =
         instances.count(it->asked()) > 0 ||
         std::any_of(instances.begin(), instances.end(), [&](const std::string& instance) {
-          return upstreams.HoldsNow(instance, *it->model(), MonotonicMs());
+          return upstreams.HasModel(instance, *it->model(), MonotonicMs());
         });
     if (is_concerned) concerned.push_back(it);
   }
@@ -226,19 +226,19 @@
   listed_as_of = listing.as_of;
   const auto changes = upstreams.ApplyListing(listing.records, now);
   for (const auto& it : changes) {
-    if (it.news == ListingNews::kLeaving) crashes.OnLeaving(it.instance);
-    if (it.news == ListingNews::kGone) crashes.OnEnded(it.instance, "record_gone", now);
+    if (it.kind == UpstreamChangeKind::kLeaving) crashes.OnLeaving(it.instance);
+    if (it.kind == UpstreamChangeKind::kGone) crashes.OnEnded(it.instance, "record_gone", now);
     // All of them are new in the first one.
-    if (is_first && it.news == ListingNews::kListed) continue;
+    if (is_first && it.kind == UpstreamChangeKind::kListed) continue;
     log.Write(
-        now, EventName(it.news),
+        now, EventName(it.kind),
         {{"upstream", it.instance}, {"service", it.service}, {"listing_age_ms", ListingAge(now)}});
   }
 }
 
 void Gateway::Impl::OnAnswer(const std::string& instance, const internal::UpstreamHead& head,
                              TimeMs sent_at) {
-  UpstreamTerms* terms = upstreams.FindTerms(instance);
+  UpstreamThrottle* terms = upstreams.FindThrottle(instance);
   if (!options.read_notice || terms == nullptr) return;
   const TimeMs now = MonotonicMs();
   const UpstreamNotice notice = options.read_notice(head.status, head.fields);
@@ -253,12 +253,12 @@
               {{"upstream", instance}, {"per_s", FormatLimit(notice.limit_per_s)}});
     LimitUpstream(instance, notice.limit_per_s);
   }
-  terms->OnRest(notice.rest_ms, sent_at, now);
-  if (notice.rest_ms > 0) {
+  terms->OnBackoff(notice.backoff_ms, sent_at, now);
+  if (notice.backoff_ms > 0) {
     ++counters.rests_asked;
-    log.Write(now, "upstream_rest", {{"upstream", instance}, {"rest_ms", notice.rest_ms}});
+    log.Write(now, "upstream_rest", {{"upstream", instance}, {"rest_ms", notice.backoff_ms}});
   }
-  if (notice.is_leaving && upstreams.OnSaidLeaving(instance, now)) {
+  if (notice.is_leaving && upstreams.OnLeavingNotice(instance, now)) {
     crashes.OnLeaving(instance);
     log.Write(now, "upstream_says_leaving", {{"upstream", instance}});
   }
@@ -395,14 +395,15 @@
   });
 }
 
-UpstreamTable::Waiting Gateway::Impl::WaitingOf(const internal::Exchange& exchange, TimeMs since) {
-  UpstreamTable::Waiting waiting;
+UpstreamTable::WaitingRequests Gateway::Impl::WaitingOf(const internal::Exchange& exchange,
+                                                        TimeMs since) {
+  UpstreamTable::WaitingRequests waiting;
   waiting.ref = *exchange.model();
   waiting.service = exchange.service();
-  waiting.asked = exchange.asked();
+  waiting.asked_instance = exchange.asked();
   waiting.priority = exchange.priority();
   waiting.since = since;
-  waiting.late_at = exchange.late_at();
+  waiting.next_late_at = exchange.late_at();
   waiting.count = 1;
   return waiting;
 }
@@ -411,30 +412,30 @@
   turned_away.push_back(WaitingOf(exchange, MonotonicMs()));
 }
 
-std::vector<UpstreamTable::Waiting> Gateway::Impl::WaitingModels() {
+std::vector<UpstreamTable::WaitingRequests> Gateway::Impl::WaitingModels() {
   const TimeMs now = MonotonicMs();
   turned_away.erase(
       std::remove_if(turned_away.begin(), turned_away.end(),
                      [now](const auto& it) { return now - it.since > kTurnedAwayMs; }),
       turned_away.end());
-  std::vector<UpstreamTable::Waiting> each = turned_away;
+  std::vector<UpstreamTable::WaitingRequests> each = turned_away;
   for (const auto& it : parked) each.push_back(WaitingOf(*it, it->parked_since()));
-  std::map<ModelRef, UpstreamTable::Waiting> by_model;
+  std::map<ModelRef, UpstreamTable::WaitingRequests> by_model;
   for (auto& it : each) {
-    const bool is_late = it.late_at <= now;
-    if (is_late) it.late_at = kNeverLate;
+    const bool is_late = it.next_late_at <= now;
+    if (is_late) it.next_late_at = kNeverLate;
     it.late = is_late ? it.count : 0;
     const auto [found, is_first] = by_model.emplace(it.ref, it);
     if (is_first) continue;
-    UpstreamTable::Waiting& waiting = found->second;
+    UpstreamTable::WaitingRequests& waiting = found->second;
     waiting.count += it.count;
     waiting.late += it.late;
-    waiting.late_at = std::min(waiting.late_at, it.late_at);
+    waiting.next_late_at = std::min(waiting.next_late_at, it.next_late_at);
     waiting.priority = std::min(waiting.priority, it.priority);
     waiting.since = std::min(waiting.since, it.since);
-    waiting.asked = it.asked;
+    waiting.asked_instance = it.asked_instance;
   }
-  std::vector<UpstreamTable::Waiting> all;
+  std::vector<UpstreamTable::WaitingRequests> all;
   for (auto& [ref, waiting] : by_model) all.push_back(std::move(waiting));
   return all;
 }
@@ -443,7 +444,7 @@
   if (!routes) return kLeastConnections;
   const ServiceSpec* service = routes->configuration().FindService(upstream.service);
   if (service == nullptr || service->max_connections <= 0) return 0;
-  const int entries = std::max(kEntriesAssumed, upstreams.Entries(MonotonicMs()));
+  const int entries = std::max(kEntriesAssumed, upstreams.CountEntries(MonotonicMs()));
   return std::max(kLeastConnections, service->max_connections / entries);
 }
 
@@ -501,11 +502,11 @@
 const UpstreamTable& Gateway::upstreams() const { return impl_->upstreams; }
 
 std::map<std::string, AgentDemand> Gateway::Demands() {
-  return impl_->upstreams.Demands(impl_->WaitingModels(), MonotonicMs());
+  return impl_->upstreams.BuildDemands(impl_->WaitingModels(), MonotonicMs());
 }
 
 std::vector<ModelDemand> Gateway::WantedFrom(const std::string& instance) {
-  return impl_->upstreams.WantedFrom(instance, impl_->WaitingModels(), MonotonicMs());
+  return impl_->upstreams.ModelDemandsFor(instance, impl_->WaitingModels(), MonotonicMs());
 }
 
 void Gateway::OnNewDemand(std::function<void(const std::string& instance)> call) {
--- a/src/gateway/gateway_impl.h
+++ b/src/gateway/gateway_impl.h
@@ -58,8 +58,8 @@
   void WakeParked();
   void WakeConcerned();
   static void Wake(std::vector<std::shared_ptr<internal::Exchange>> all);
-  std::vector<UpstreamTable::Waiting> WaitingModels();
-  static UpstreamTable::Waiting WaitingOf(const internal::Exchange& exchange, TimeMs since);
+  std::vector<UpstreamTable::WaitingRequests> WaitingModels();
+  static UpstreamTable::WaitingRequests WaitingOf(const internal::Exchange& exchange, TimeMs since);
   // A request could not wait for its model; others will ask for it.
   void NoteTurnedAway(const internal::Exchange& exchange);
 
@@ -98,7 +98,7 @@
   LatencyHistogram listing_age;
   TimeMs listed_as_of = 0;  // 0: never listed, or by another entry's word.
   std::set<std::shared_ptr<internal::Exchange>> parked;
-  std::vector<UpstreamTable::Waiting> turned_away;  // Of the last seconds; `since` is when.
+  std::vector<UpstreamTable::WaitingRequests> turned_away;  // Of the last seconds; `since` is when.
   std::set<std::shared_ptr<internal::CallerConnection>> connections;
   std::function<void(const std::string& instance)> on_new_demand;
   std::function<void(const UpstreamEnd&)> on_upstream_end;
--- a/src/listing/upstream_record.cc
+++ b/src/listing/upstream_record.cc
@@ -6,7 +6,7 @@
 
 namespace junctionrail {
 
-std::vector<UpstreamRecord> KeepLatestAtEachAddress(std::vector<UpstreamRecord> records) {
+std::vector<UpstreamRecord> KeepLatestAtEachEndpoint(std::vector<UpstreamRecord> records) {
   std::map<std::string, std::int64_t> latest;
   for (const auto& it : records) {
     std::int64_t& generation = latest[it.endpoint.ToString()];
--- a/src/placement/messages.cc
+++ b/src/placement/messages.cc
@@ -29,11 +29,12 @@
 
 // What changes from one view to the next, without the rates of what is loaded.
 json LoadToJson(const EngineView& view) {
-  json message = {{"ms", view.remaining_ms}, {"r", view.running}, {"w", view.waiting},
-                  {"kv", view.kv_share},     {"e", view.entries}, {"wr", view.wants_per_s}};
-  if (view.store_want) {
-    const StoreWant& want = *view.store_want;
-    message["sw"] = {want.is_waited_for, want.age_ms, want.weight};
+  json message = {
+      {"ms", view.load_remaining_ms}, {"r", view.running}, {"w", view.waiting},
+      {"kv", view.kv_usage},          {"e", view.entries}, {"wr", view.model_waits_per_s}};
+  if (view.store_load_request) {
+    const StoreLoadRequest& want = *view.store_load_request;
+    message["sw"] = {want.has_waiting_requests, want.age_ms, want.weight};
   }
   return message;
 }
@@ -44,10 +45,10 @@
   if (parts.has_loaded) (*message)["m"] = ToJson(view.loaded);
   if (parts.has_orders) {
     (*message)["l"] = view.loading;
-    (*message)["s"] = view.is_from_store;
+    (*message)["s"] = view.is_loading_from_store;
     (*message)["q"] = view.queue;
   }
-  if (parts.has_at_hand) (*message)["h"] = view.at_hand;
+  if (parts.has_at_hand) (*message)["h"] = view.cached_models;
 }
 
 json InOrderLoaded(const EngineView& view, const std::map<std::string, double>& values) {
@@ -74,26 +75,27 @@
   if (is_whole || it.contains("m")) view->loaded = ReadLoaded(it.at("m"));
   if (is_whole || it.contains("l")) {
     view->loading = it.at("l").get<std::string>();
-    view->is_from_store = it.at("s").get<bool>();
+    view->is_loading_from_store = it.at("s").get<bool>();
     view->queue = it.at("q").get<std::vector<std::string>>();
   }
-  if (is_whole || it.contains("h")) view->at_hand = it.at("h").get<std::vector<std::string>>();
+  if (is_whole || it.contains("h"))
+    view->cached_models = it.at("h").get<std::vector<std::string>>();
 }
 
 void ReadLoad(const json& it, EngineView* view) {
-  view->remaining_ms = it.at("ms").get<DurationMs>();
+  view->load_remaining_ms = it.at("ms").get<DurationMs>();
   view->running = it.at("r").get<int>();
   view->waiting = it.at("w").get<int>();
-  view->kv_share = it.at("kv").get<double>();
+  view->kv_usage = it.at("kv").get<double>();
   view->entries = it.at("e").get<int>();
-  if (it.contains("u")) view->per_s = ReadByModel(it.at("u"), *view);
-  if (it.contains("c")) view->closing_ms = ReadByModel(it.at("c"), *view);
-  view->wants_per_s = it.value("wr", 0.0);
-  view->store_want.reset();
+  if (it.contains("u")) view->requests_per_s = ReadByModel(it.at("u"), *view);
+  if (it.contains("c")) view->eviction_cost_ms = ReadByModel(it.at("c"), *view);
+  view->model_waits_per_s = it.value("wr", 0.0);
+  view->store_load_request.reset();
   const auto want = it.find("sw");
   if (want != it.end()) {
-    view->store_want = StoreWant{want->at(0).get<bool>(), want->at(2).get<double>(),
-                                 want->at(1).get<DurationMs>()};
+    view->store_load_request = StoreLoadRequest{want->at(0).get<bool>(), want->at(2).get<double>(),
+                                                want->at(1).get<DurationMs>()};
   }
 }
 
@@ -119,8 +121,8 @@
   ViewParts parts;
   parts.has_loaded = before.loaded != after.loaded;
   parts.has_orders = before.loading != after.loading || before.queue != after.queue ||
-                     before.is_from_store != after.is_from_store;
-  parts.has_at_hand = before.at_hand != after.at_hand;
+                     before.is_loading_from_store != after.is_loading_from_store;
+  parts.has_at_hand = before.cached_models != after.cached_models;
   return parts;
 }
 
@@ -142,9 +144,9 @@
   json message = LoadToJson(view);
   message["i"] = view.instance;
   AddParts(view, kAllParts, &message);
-  message["u"] = view.per_s;
-  message["c"] = view.closing_ms;
-  message["re"] = view.relays_ends;
+  message["u"] = view.requests_per_s;
+  message["c"] = view.eviction_cost_ms;
+  message["re"] = view.relays_upstream_ends;
   return PackCbor(message);
 }
 
@@ -152,8 +154,8 @@
   json message = LoadToJson(view);
   AddParts(view, parts, &message);
   // In the order of what is loaded, which the reader knows: names are half the bytes.
-  message["u"] = InOrderLoaded(view, view.per_s);
-  message["c"] = InOrderLoaded(view, view.closing_ms);
+  message["u"] = InOrderLoaded(view, view.requests_per_s);
+  message["c"] = InOrderLoaded(view, view.eviction_cost_ms);
   return PackCbor(message);
 }
 
@@ -163,7 +165,7 @@
     if (instance != it.end()) {
       *view = EngineView();
       view->instance = instance->get<std::string>();
-      view->relays_ends = it.value("re", false);
+      view->relays_upstream_ends = it.value("re", false);
     } else if (view->instance.empty()) {
       return false;
     }
@@ -177,13 +179,13 @@
   json wanted = json::array();
   for (const auto& it : demand.wanted) {
     wanted.push_back({it.ref.model, it.ref.adapter, it.waiting, it.priority, it.age_ms,
-                      it.replica_per_s, it.callers_late, kUnusedPlace, it.late, it.left_ms,
-                      it.per_s, it.at_risk_per_s});
+                      it.requests_per_s_per_replica, it.late_callers, kUnusedPlace, it.late,
+                      it.slack_ms, it.requests_per_s, it.at_risk_requests_per_s});
   }
   json use = json::array();
   for (const auto& it : demand.use) {
-    use.push_back({it.model, it.in_flight, it.per_s, it.replicas, it.idle_ms, it.adapters_in_use,
-                   it.target_ms, it.priority});
+    use.push_back({it.model, it.in_flight, it.requests_per_s, it.replicas, it.idle_ms,
+                   it.adapters_in_use, it.target_ms, it.priority});
   }
   return PackCbor({{"n", demand.entry},
                    {"i", demand.instance},
@@ -191,9 +193,9 @@
                    {"u", use},
                    {"s", demand.stage},
                    {"f", demand.may_load_from_store},
-                   {"p", demand.repeat_ms},
-                   {"d", demand.takes_updates},
-                   {"te", demand.takes_ends}});
+                   {"p", demand.resend_interval_ms},
+                   {"d", demand.accepts_view_updates},
+                   {"te", demand.wants_upstream_ends}});
 }
 
 bool DecodeDemand(std::string_view bytes, AgentDemand* demand) {
@@ -222,9 +224,9 @@
     demand->stage = message.at("s").get<std::vector<std::string>>();
     // An entry from before there was such a field sets no bound.
     demand->may_load_from_store = message.value("f", true);
-    demand->repeat_ms = message.value("p", demand->repeat_ms);
-    demand->takes_updates = message.value("d", false);
-    demand->takes_ends = message.value("te", false);
+    demand->resend_interval_ms = message.value("p", demand->resend_interval_ms);
+    demand->accepts_view_updates = message.value("d", false);
+    demand->wants_upstream_ends = message.value("te", false);
     return true;
   });
 }
--- a/src/placement/placement_core.cc
+++ b/src/placement/placement_core.cc
@@ -154,7 +154,7 @@
 
 void PlacementCore::ExpireDemands(TimeMs now) {
   for (auto it = demands_.begin(); it != demands_.end();) {
-    const auto most = kSilentRepeats * static_cast<double>(it->second.demand.repeat_ms);
+    const auto most = kSilentRepeats * static_cast<double>(it->second.demand.resend_interval_ms);
     const bool is_silent = static_cast<double>(now - it->second.at) > most;
     it = is_silent ? demands_.erase(it) : std::next(it);
   }
@@ -167,7 +167,7 @@
 
 bool PlacementCore::TakesUpdates(std::uint64_t link) const {
   const AgentDemand* demand = DemandOf(link);
-  return demand != nullptr && demand->takes_updates;
+  return demand != nullptr && demand->accepts_view_updates;
 }
 
 bool PlacementCore::IsConcerned(std::uint64_t link, const std::vector<std::string>& gone) const {
@@ -190,12 +190,12 @@
       want.waiting += wanted.waiting;
       want.priority = is_first ? wanted.priority : std::min(want.priority, wanted.priority);
       want.age_ms = std::max(want.age_ms, wanted.age_ms);
-      want.replica_per_s = std::max(want.replica_per_s, wanted.replica_per_s);
-      want.callers_late = std::max(want.callers_late, wanted.callers_late);
+      want.replica_per_s = std::max(want.replica_per_s, wanted.requests_per_s_per_replica);
+      want.callers_late = std::max(want.callers_late, wanted.late_callers);
       want.late += wanted.late;
-      if (wanted.waiting > wanted.late) want.left_ms = std::min(want.left_ms, wanted.left_ms);
-      want.per_s += wanted.per_s;
-      want.at_risk_per_s = std::max(want.at_risk_per_s, wanted.at_risk_per_s);
+      if (wanted.waiting > wanted.late) want.left_ms = std::min(want.left_ms, wanted.slack_ms);
+      want.per_s += wanted.requests_per_s;
+      want.at_risk_per_s = std::max(want.at_risk_per_s, wanted.at_risk_requests_per_s);
     }
   }
   std::vector<Want> wants;
@@ -254,7 +254,7 @@
     for (const auto& entry : it.demand.use) {
       if (entry.model != model) continue;
       use.in_flight += entry.in_flight;
-      use.per_s += entry.per_s;
+      use.per_s += entry.requests_per_s;
       use.replicas = std::max(use.replicas, entry.replicas);
       if (entry.idle_ms < 0) continue;
       use.priority = use.idle_ms < 0 ? entry.priority : std::min(use.priority, entry.priority);
@@ -297,7 +297,7 @@
                                                : spec->adapter_mb;
     CheckInvariant(spec != nullptr && UsedMb() + mb <= spec_.accelerator_mb,
                    "an order to load fits the accelerator's memory");
-    CheckInvariant(target.adapter.empty() || UsedAdapterPlaces() < spec_.adapter_places,
+    CheckInvariant(target.adapter.empty() || UsedAdapterPlaces() < spec_.adapter_slots,
                    "an order to load an adapter finds a free place");
   }
   return EngineOrder{kind, std::move(target), report_.sequence, std::move(reason), {}};
@@ -377,7 +377,7 @@
   if (IsNear(model) || MayLoadFromStore()) return false;
   if (store_want_since_ == 0) store_want_since_ = now;
   if (!store_want_) store_want_.emplace();
-  store_want_->is_waited_for |= is_waited_for;
+  store_want_->has_waiting_requests |= is_waited_for;
   store_want_->weight = std::max(store_want_->weight, weight);
   store_want_->age_ms = now - store_want_since_;
   return true;
@@ -391,7 +391,7 @@
   if (std::find(coming.begin(), coming.end(), want.ref) != coming.end()) return std::nullopt;
   const ModelSpec* spec = spec_.Find(want.ref.model);
   if (spec == nullptr || coming.size() >= kAdaptersAtOnce) return std::nullopt;
-  const bool fits = UsedAdapterPlaces() < spec_.adapter_places &&
+  const bool fits = UsedAdapterPlaces() < spec_.adapter_slots &&
                     UsedMb() + spec->adapter_mb <= spec_.accelerator_mb;
   if (fits) return Make(OrderKind::kLoad, want.ref, "requests wait for the adapter");
   // Least recently asked for first.
@@ -525,12 +525,12 @@
 EngineView PlacementCore::View(TimeMs now) const {
   EngineView view;
   view.instance = instance_;
-  view.relays_ends = true;
+  view.relays_upstream_ends = true;
   for (const auto& it : report_.loaded) {
     if (it.name == loading_) continue;
     view.loaded.push_back(it);
-    view.per_s[it.name] = UseOf(it.name).per_s;
-    view.closing_ms[it.name] = ClosingCost(it.name);
+    view.requests_per_s[it.name] = UseOf(it.name).per_s;
+    view.eviction_cost_ms[it.name] = ClosingCost(it.name);
     const bool has_leaving = open_ && open_->kind == OrderKind::kUnload &&
                              open_->target.model == it.name && !open_->target.adapter.empty();
     if (!has_leaving) continue;
@@ -541,26 +541,26 @@
   const bool is_changing = report_.is_busy || (open_ && open_->target.adapter.empty());
   if (is_changing) {
     view.loading = is_unloading_ ? "unloading" : loading_;
-    view.is_from_store = is_from_store_;
+    view.is_loading_from_store = is_from_store_;
     const DurationMs whole = is_unloading_ ? kUnloadMs : LoadEstimate(loading_);
-    view.remaining_ms = std::max<DurationMs>(kAfterConflictMs, whole - (now - loading_since_));
+    view.load_remaining_ms = std::max<DurationMs>(kAfterConflictMs, whole - (now - loading_since_));
   }
   for (const auto& it : Wants()) {
     const bool is_queued = it.waiting > 0 && FindLoaded(it.ref.model) == nullptr &&
                            it.ref.model != loading_ && !Contains(view.queue, it.ref.model);
     if (is_queued) view.queue.push_back(it.ref.model);
   }
-  view.at_hand = report_.on_disk;
+  view.cached_models = report_.on_disk;
   for (const auto& it : report_.in_memory) {
-    if (!Contains(view.at_hand, it)) view.at_hand.push_back(it);
+    if (!Contains(view.cached_models, it)) view.cached_models.push_back(it);
   }
-  view.wants_per_s =
+  view.model_waits_per_s =
       wants_per_s_ * std::exp(-static_cast<double>(now - wants_at_) / kWantsMemoryMs);
   view.running = report_.running;
   view.waiting = report_.waiting;
-  view.kv_share = report_.kv_share;
+  view.kv_usage = report_.kv_share;
   view.entries = std::max<int>(1, static_cast<int>(demands_.size()));
-  if (!is_changing) view.store_want = store_want_;
+  if (!is_changing) view.store_load_request = store_want_;
   return view;
 }
 
--- a/src/routing/cold_models.cc
+++ b/src/routing/cold_models.cc
@@ -16,34 +16,34 @@
 constexpr DurationMs kAdapterLoadMs = 30;
 // Kept with the agent asked before unless another is this much sooner, so
 // that the requests of a model do not start two loads.
-constexpr DurationMs kStayWithAskedMs = 1500;
+constexpr DurationMs kKeepLoadTargetMs = 1500;
 // An agent that has not brought a model up so long after its estimate, or half
 // the estimate again if that is longer, most likely cannot, and for so long
 // others are asked first.
-constexpr DurationMs kOverdueMs = 1000;
-constexpr double kOverduePart = 0.5;
-constexpr DurationMs kAvoidMs = 5000;
+constexpr DurationMs kMinOverdueMs = 1000;
+constexpr double kOverdueFactor = 0.5;
+constexpr DurationMs kOverdueAvoidMs = 5000;
 // What it counts for then: more than a load from the weight store elsewhere.
-constexpr DurationMs kAvoidedCostMs = 10000;
+constexpr DurationMs kOverdueCostMs = 10000;
 // Waiting requests look again four times a second; after so long without one a
 // model is asked for anew.
-constexpr DurationMs kAskedAnewMs = 1000;
+constexpr DurationMs kLoadRequestExpiryMs = 1000;
 
 // Whether the engine has the model, or will when the order under way is done: nothing
 // else has to make room or to wait for it.
-bool IsThereOrComing(const EngineView& view, const std::string& model) {
+bool IsLoadedOrLoading(const EngineView& view, const std::string& model) {
   return HoldsModel(view.loaded, model) || view.loading == model;
 }
 
 std::string_view SourceOf(const EngineView& view, const ModelRef& model) {
   if (HoldsModel(view.loaded, model.model)) return "adapter";
   if (view.loading == model.model) return "under_load";
-  return Contains(view.at_hand, model.model) ? "disk" : "store";
+  return Contains(view.cached_models, model.model) ? "disk" : "store";
 }
 
 }  // namespace
 
-const ModelSpec* UpstreamTable::SpecOf(const Row& row, std::string_view model) const {
+const ModelSpec* UpstreamTable::FindModelSpec(const Row& row, std::string_view model) const {
   const auto it = services_.find(row.record.service);
   if (it == services_.end() || !it->second.engine) return nullptr;
   return it->second.engine->Find(model);
@@ -51,23 +51,23 @@
 
 DurationMs UpstreamTable::EstimateLoad(const Row& row, const ModelRef& model, const StoreUse& store,
                                        TimeMs now) const {
-  const ModelSpec* spec = SpecOf(row, model.model);
-  if (spec == nullptr) return RoutingTimes::kViewFreshMs;
+  const ModelSpec* spec = FindModelSpec(row, model.model);
+  if (spec == nullptr) return RoutingTimes::kViewMaxAgeMs;
   const EngineView& view = row.view;
   const DurationMs since_view = now - row.view_at;
   const DurationMs busy =
-      view.loading.empty() ? 0 : std::max<DurationMs>(100, view.remaining_ms - since_view);
+      view.loading.empty() ? 0 : std::max<DurationMs>(100, view.load_remaining_ms - since_view);
   // Engines load no adapter while an order on a model is under way.
   if (HoldsModel(view.loaded, model.model)) return busy + kAdapterLoadMs;
   if (view.loading == model.model) return busy;
   const auto cost = [&](const std::string& name) {
-    const ModelSpec* it = SpecOf(row, name);
+    const ModelSpec* it = FindModelSpec(row, name);
     if (it == nullptr) return DurationMs{0};
-    if (Contains(view.at_hand, name)) return it->disk_load_ms + kSwapOverheadMs;
+    if (Contains(view.cached_models, name)) return it->disk_load_ms + kSwapOverheadMs;
     // Beyond as many as it serves at once, each waits for its turn.
-    const int ahead = store.loads + store.wants;
-    const double slowed = std::max(1.0, (ahead + 1.0) / options_.parallel_store_loads);
-    return static_cast<DurationMs>(static_cast<double>(it->store_load_ms) * slowed) +
+    const int ahead = store.active_loads + store.waiting_loads;
+    const double slowdown = std::max(1.0, (ahead + 1.0) / options_.parallel_store_loads);
+    return static_cast<DurationMs>(static_cast<double>(it->store_load_ms) * slowdown) +
            kSwapOverheadMs;
   };
   DurationMs estimate = busy;
@@ -81,11 +81,11 @@
 // What the callers of other models lose, in milliseconds over all of them, when
 // the engine makes room for this one: the cheapest of what is loaded goes until
 // the model and those queued before it fit. 0 for an agent that does not say.
-double UpstreamTable::ClosingCost(const Row& row, const ModelRef& model) const {
+double UpstreamTable::EvictionCost(const Row& row, const ModelRef& model) const {
   const EngineView& view = row.view;
-  if (IsThereOrComing(view, model.model)) return 0;
+  if (IsLoadedOrLoading(view, model.model)) return 0;
   const auto size = [&](const std::string& name) {
-    const ModelSpec* spec = SpecOf(row, name);
+    const ModelSpec* spec = FindModelSpec(row, name);
     return spec == nullptr ? 0.0 : spec->size_mb;
   };
   double missing_mb = size(model.model) + size(view.loading);
@@ -97,17 +97,17 @@
   if (service != services_.end() && service->second.engine) {
     missing_mb -= service->second.engine->accelerator_mb;
   }
-  std::vector<std::pair<double, double>> closable;  // Cost and size.
+  std::vector<std::pair<double, double>> evictable;  // Cost and size.
   for (const auto& it : view.loaded) {
-    const ModelSpec* spec = SpecOf(row, it.name);
+    const ModelSpec* spec = FindModelSpec(row, it.name);
     if (spec == nullptr) continue;
     missing_mb += spec->size_mb + spec->adapter_mb * static_cast<double>(it.adapters.size());
-    const auto cost = view.closing_ms.find(it.name);
-    closable.emplace_back(cost == view.closing_ms.end() ? 0 : cost->second, spec->size_mb);
+    const auto cost = view.eviction_cost_ms.find(it.name);
+    evictable.emplace_back(cost == view.eviction_cost_ms.end() ? 0 : cost->second, spec->size_mb);
   }
-  std::sort(closable.begin(), closable.end());
+  std::sort(evictable.begin(), evictable.end());
   double total = 0;
-  for (const auto& [cost, mb] : closable) {
+  for (const auto& [cost, mb] : evictable) {
     if (missing_mb <= 0) break;
     total += cost;
     missing_mb -= mb;
@@ -118,69 +118,72 @@
 // What callers of other models wait, in milliseconds over all of them, as the
 // engine carries out one order at a time: of those that begin to wait there until
 // the load is done, each waits half of it on average.
-double UpstreamTable::OccupationCost(const Row& row, const ModelRef& model) const {
+double UpstreamTable::BlockingCost(const Row& row, const ModelRef& model) const {
   if (!options_.policy.weighs_occupation) return 0;
   const EngineView& view = row.view;
-  if (IsThereOrComing(view, model.model)) return 0;
-  const ModelSpec* spec = SpecOf(row, model.model);
+  if (IsLoadedOrLoading(view, model.model)) return 0;
+  const ModelSpec* spec = FindModelSpec(row, model.model);
   if (spec == nullptr) return 0;
-  const auto load = static_cast<double>(Contains(view.at_hand, model.model) ? spec->disk_load_ms
-                                                                            : spec->store_load_ms);
-  return view.wants_per_s / 1000 * load * load / 2;
+  const auto load = static_cast<double>(
+      Contains(view.cached_models, model.model) ? spec->disk_load_ms : spec->store_load_ms);
+  return view.model_waits_per_s / 1000 * load * load / 2;
 }
 
 double UpstreamTable::CostToOthers(const Row& row, const ModelRef& model) const {
-  return ClosingCost(row, model) + OccupationCost(row, model);
+  return EvictionCost(row, model) + BlockingCost(row, model);
 }
 
 // Whose agent is still asked for the model; empty for none. One that is late is
 // noted, so that others are asked before it for a while.
-std::string UpstreamTable::StillAsked(const ModelRef& model, TimeMs now) {
-  const auto asked = asked_.find(model.ToString());
-  if (asked == asked_.end() || now - asked->second.last_at > kAskedAnewMs) return {};
-  if (now < asked->second.late_at) return asked->second.instance;
+std::string UpstreamTable::PendingLoadInstance(const ModelRef& model, TimeMs now) {
+  const auto asked = load_requests_.find(model.ToString());
+  if (asked == load_requests_.end() || now - asked->second.last_waited_at > kLoadRequestExpiryMs)
+    return {};
+  if (now < asked->second.overdue_at) return asked->second.instance;
   const auto row = rows_.find(asked->second.instance);
   if (row != rows_.end() && options_.policy.avoids_late_agents) {
-    row->second.overdue_until[model] = now + kAvoidMs;
+    row->second.load_overdue_until[model] = now + kOverdueAvoidMs;
   }
   return {};
 }
 
-void UpstreamTable::NoteAsked(const ModelRef& model, const std::string& instance,
-                              DurationMs estimate, TimeMs now) {
-  Asked& asked = asked_[model.ToString()];
-  const bool is_anew =
-      asked.instance != instance || now - asked.last_at > kAskedAnewMs || now >= asked.late_at;
-  if (is_anew) {
-    const auto part = static_cast<DurationMs>(kOverduePart * static_cast<double>(estimate));
-    asked = Asked{instance, now + estimate + std::max(kOverdueMs, part), now};
+void UpstreamTable::RecordLoadRequest(const ModelRef& model, const std::string& instance,
+                                      DurationMs estimate, TimeMs now) {
+  LoadRequest& asked = load_requests_[model.ToString()];
+  const bool is_new = asked.instance != instance ||
+                      now - asked.last_waited_at > kLoadRequestExpiryMs || now >= asked.overdue_at;
+  if (is_new) {
+    const auto part = static_cast<DurationMs>(kOverdueFactor * static_cast<double>(estimate));
+    asked = LoadRequest{instance, now + estimate + std::max(kMinOverdueMs, part), now};
   }
-  asked.last_at = now;
+  asked.last_waited_at = now;
 }
 
-Pick UpstreamTable::ChooseLoad(const PickRequest& request, const std::vector<Row*>& usable,
-                               const std::optional<WaitFor>& opening, TimeMs now) {
+PickResult UpstreamTable::ChooseLoadTarget(const PickRequest& request,
+                                           const std::vector<Row*>& usable,
+                                           const std::optional<WaitFor>& reopening, TimeMs now) {
   const Row* best = nullptr;
   DurationMs best_ms = 0;
   std::uint64_t best_score = 0;
   const std::string key = request.model->ToString();
-  const std::string asked = StillAsked(*request.model, now);
+  const std::string asked = PendingLoadInstance(*request.model, now);
   const bool wants_adapter = !request.model->adapter.empty();
-  const StoreUse store = StoreUseNow(now);
+  const StoreUse store = CurrentStoreUse(now);
   for (const Row* row : usable) {
     if (!IsFresh(*row, now)) continue;
     DurationMs estimate = EstimateLoad(*row, *request.model, store, now);
     if (row->record.instance == asked) {
       // What others lose there was weighed when it was asked, and counts the wait
       // for this model too.
-      estimate -= kStayWithAskedMs;
+      estimate -= kKeepLoadTargetMs;
     } else if (best == nullptr || estimate <= best_ms) {
       // The agent makes room when those who wait have lost as much as those who
       // would: the cost to others is also a wait.
       estimate += static_cast<DurationMs>(CostToOthers(*row, *request.model));
     }
-    const auto overdue = row->overdue_until.find(*request.model);
-    if (overdue != row->overdue_until.end() && overdue->second > now) estimate += kAvoidedCostMs;
+    const auto overdue = row->load_overdue_until.find(*request.model);
+    if (overdue != row->load_overdue_until.end() && overdue->second > now)
+      estimate += kOverdueCostMs;
     // Among upstreams that hold the base, the adapters share out by rendezvous.
     if (wants_adapter && estimate <= kAdapterLoadMs) estimate = 0;
     const std::uint64_t score = RendezvousScore(key, row->record.instance);
@@ -191,17 +194,17 @@
     best_ms = estimate;
     best_score = score;
   }
-  if (best == nullptr && opening) return *opening;
+  if (best == nullptr && reopening) return *reopening;
   if (best == nullptr) return WaitFor{{}, 0, {}, 0};
   const DurationMs estimate = EstimateLoad(*best, *request.model, store, now);
-  if (opening && opening->estimate_ms <= estimate) return *opening;
-  NoteAsked(*request.model, best->record.instance, estimate, now);
+  if (reopening && reopening->estimate_ms <= estimate) return *reopening;
+  RecordLoadRequest(*request.model, best->record.instance, estimate, now);
   return WaitFor{best->record.instance, estimate, SourceOf(best->view, *request.model),
                  CostToOthers(*best, *request.model)};
 }
 
-void UpstreamTable::AddUse(AgentDemand* demand, const Row& row, const CountByModel& replicas,
-                           TimeMs now) const {
+void UpstreamTable::AddModelUse(AgentDemand* demand, const Row& row, const CountByModel& replicas,
+                                TimeMs now) const {
   const auto& loaded = IsFresh(row, now) ? row.view.loaded : row.record.loaded;
   for (const auto& it : loaded) {
     ModelUse use;
@@ -211,7 +214,7 @@
       use.in_flight += n;
       if (!ref.adapter.empty()) use.adapters_in_use.push_back(ref.adapter);
     }
-    use.per_s = RateOf(it.name, now);
+    use.requests_per_s = RequestRate(it.name, now);
     const auto count = replicas.find(it.name);
     if (count != replicas.end()) use.replicas = count->second;
     const auto rate = rates_.find(it.name);
@@ -224,26 +227,26 @@
   }
 }
 
-ModelDemand UpstreamTable::ToWanted(const Waiting& waiting, TimeMs now) const {
+ModelDemand UpstreamTable::ToModelDemand(const WaitingRequests& waiting, TimeMs now) const {
   ModelDemand wanted{waiting.ref, waiting.count, waiting.priority, now - waiting.since};
   wanted.late = waiting.late;
-  wanted.left_ms = waiting.late_at - now;
-  wanted.per_s = RateOf(waiting.ref.model, now);
+  wanted.slack_ms = waiting.next_late_at - now;
+  wanted.requests_per_s = RequestRate(waiting.ref.model, now);
   return wanted;
 }
 
-std::vector<ModelDemand> UpstreamTable::WantedFrom(const std::string& instance,
-                                                   const std::vector<Waiting>& waiting,
-                                                   TimeMs now) const {
+std::vector<ModelDemand> UpstreamTable::ModelDemandsFor(const std::string& instance,
+                                                        const std::vector<WaitingRequests>& waiting,
+                                                        TimeMs now) const {
   std::vector<ModelDemand> wanted;
   for (const auto& it : waiting) {
-    if (it.asked == instance) wanted.push_back(ToWanted(it, now));
+    if (it.asked_instance == instance) wanted.push_back(ToModelDemand(it, now));
   }
   return wanted;
 }
 
-std::map<std::string, AgentDemand> UpstreamTable::Demands(const std::vector<Waiting>& waiting,
-                                                          TimeMs now) {
+std::map<std::string, AgentDemand> UpstreamTable::BuildDemands(
+    const std::vector<WaitingRequests>& waiting, TimeMs now) {
   std::map<std::string, AgentDemand> demands;
   const CountByModel replicas = CountReplicas(now);
   for (const auto& [instance, row] : rows_) {
@@ -252,14 +255,14 @@
     if (!IsPresent(row, row.record.service)) continue;
     AgentDemand& demand = demands[instance];
     demand.instance = instance;
-    AddUse(&demand, row, replicas, now);
+    AddModelUse(&demand, row, replicas, now);
   }
   for (const auto& it : waiting) {
-    const auto demand = demands.find(it.asked);
-    if (demand != demands.end()) demand->second.wanted.push_back(ToWanted(it, now));
+    const auto demand = demands.find(it.asked_instance);
+    if (demand != demands.end()) demand->second.wanted.push_back(ToModelDemand(it, now));
   }
   if (options_.policy.adds_replicas) AddReplicas(&demands, replicas, now);
-  if (options_.policy.stages || options_.policy.spares) AddAhead(&demands, now);
+  if (options_.policy.stages || options_.policy.spares) AddPreloads(&demands, now);
   if (options_.policy.shares_store) ShareWeightStore(&demands, now);
   return demands;
 }
--- a/src/routing/retry_budget.cc
+++ b/src/routing/retry_budget.cc
@@ -8,11 +8,11 @@
   window.requests.push_back(now);
 }
 
-bool RetryBudget::TryTake(const std::string& service, TimeMs now) {
+bool RetryBudget::TryConsume(const std::string& service, TimeMs now) {
   Window& window = windows_[service];
   Expire(&window, now);
-  const double allowed =
-      options_.ratio * static_cast<double>(window.requests.size()) + options_.extra / entries_;
+  const double allowed = options_.ratio * static_cast<double>(window.requests.size()) +
+                         options_.fixed_attempts / entries_;
   if (static_cast<double>(window.retries.size()) + 1 > allowed) return false;
   window.retries.push_back(now);
   return true;
--- a/src/routing/route_table.cc
+++ b/src/routing/route_table.cc
@@ -62,14 +62,14 @@
 
 std::string_view PickService(const Route& route, std::string_view request_id) {
   std::uint64_t total = 0;
-  for (const auto& it : route.shares) total += it.weight;
+  for (const auto& it : route.traffic_split) total += it.weight;
   if (total == 0) return {};
   std::uint64_t point = RendezvousScore(request_id, route.name) % total;
-  for (const auto& it : route.shares) {
+  for (const auto& it : route.traffic_split) {
     if (point < it.weight) return it.service;
     point -= it.weight;
   }
-  return route.shares.back().service;
+  return route.traffic_split.back().service;
 }
 
 }  // namespace junctionrail
--- a/src/routing/upstream_table.cc
+++ b/src/routing/upstream_table.cc
@@ -14,17 +14,17 @@
 // First ejection; doubles with each further one. Long enough for a process to
 // start again, short against the quarter hour an outage may take.
 constexpr DurationMs kEjectMs = 1000;
-constexpr DurationMs kLongestEjectMs = 8000;
+constexpr DurationMs kMaxEjectMs = 8000;
 // An upstream that answers nothing for so long while its agent is silent too is
 // paused, cut off or gone. Upstreams begin to answer within some hundred
 // milliseconds, and views come twice a second.
-constexpr DurationMs kMuteMs = 1000;
+constexpr DurationMs kUnresponsiveMs = 1000;
 // An upstream said it does not hold a model that its agent listed: the agent
 // is asked about it again well within this.
 constexpr DurationMs kNotLoadedMs = 400;
 // What a request sent to another data hall costs against one more request in
 // the queue: bytes between halls are priced, a place in a batch hardly slows.
-constexpr double kOtherHallLoad = 10;
+constexpr double kOtherDataHallLoad = 10;
 // A request with a known prompt prefers the upstream that read it before by as
 // much.
 constexpr double kAffinityLoad = 8;
@@ -35,14 +35,14 @@
 constexpr double kSpreadLoad = 24;
 // An engine serves as many requests at once as it has places; half as many may
 // queue there, so that none of them stands empty between two views.
-constexpr double kPlacesPart = 1.5;
+constexpr double kQueueFactor = 1.5;
 // The least that an entry may send between two views, of an engine not full.
-constexpr double kLeastPart = 3;
+constexpr double kMinEntryShare = 3;
 // The next view of a full engine comes within this.
-constexpr DurationMs kFullMs = 500;
+constexpr DurationMs kFullRetryMs = 500;
 // A suspected request leaves the upstream to the next one within this: see
 // QuarantineLimits::harmless_after_ms, and the wait for the first event.
-constexpr DurationMs kTakenMs = 500;
+constexpr DurationMs kOccupiedRetryMs = 500;
 // Share of tokens' memory from which an engine preempts before long.
 constexpr double kFullKvShare = 0.9;
 constexpr double kFullKvLoad = 64;
@@ -52,36 +52,36 @@
 
 // An upstream that has said it leaves has ended by then, and a store's older copy that lists
 // it as ready is seconds old.
-constexpr DurationMs kLeftKnownMs = 60000;
+constexpr DurationMs kDepartureMemoryMs = 60000;
 
 // A model's rate is an exponential average over about so long, as demand moves
 // within seconds; a younger one is taken to have seen at least such a part of it.
-constexpr double kRateMemoryMs = 5000;
-constexpr double kLeastSeen = 0.2;
+constexpr double kRateTimeConstantMs = 5000;
+constexpr double kMinObservedShare = 0.2;
 
 // How much the newest request counts in the average wait for the first event: it
 // follows a queue that builds up within ten requests.
-constexpr double kFirstEventPart = 0.15;
+constexpr double kFirstEventWeight = 0.15;
 
 // The same for all processes; between 0 and 1.
-double Chance(std::string_view key, std::string_view instance) {
+double HashFraction(std::string_view key, std::string_view instance) {
   return static_cast<double>(RendezvousScore(key, instance) >> 11) /
          static_cast<double>(1ULL << 53);
 }
 
 }  // namespace
 
-std::vector<UpstreamNews> UpstreamTable::ApplyListing(const std::vector<UpstreamRecord>& listing,
-                                                      TimeMs now) {
-  ForgetLeft(now);
-  std::vector<UpstreamNews> changes;
-  const auto note = [&](ListingNews news, const UpstreamRecord& it) {
-    changes.push_back({news, it.instance, it.service});
-    const bool leaves =
-        news == ListingNews::kLeaving || (news == ListingNews::kGone && !it.is_leaving);
-    if (leaves) NoteLeft(it.service, now);
+std::vector<UpstreamChange> UpstreamTable::ApplyListing(const std::vector<UpstreamRecord>& listing,
+                                                        TimeMs now) {
+  ForgetOldDepartures(now);
+  std::vector<UpstreamChange> changes;
+  const auto add_change = [&](UpstreamChangeKind kind, const UpstreamRecord& it) {
+    changes.push_back({kind, it.instance, it.service});
+    const bool leaves = kind == UpstreamChangeKind::kLeaving ||
+                        (kind == UpstreamChangeKind::kGone && !it.is_leaving);
+    if (leaves) RecordDeparture(it.service, now);
   };
-  std::set<std::string> listed;
+  std::set<std::string> listed_instances;
   // An instance in whose place another one answered has ended, whatever its
   // record says: it may lapse late, or even be written again.
   std::vector<UpstreamRecord> present;
@@ -89,53 +89,53 @@
     const auto row = rows_.find(it.instance);
     const bool was_replaced = row != rows_.end() && row->second.was_replaced;
     if (was_replaced) {
-      listed.insert(it.instance);  // Remembered for as long as it is recorded.
+      listed_instances.insert(it.instance);  // Remembered for as long as it is recorded.
     } else {
       present.push_back(it);
     }
   }
-  for (const auto& it : KeepLatestAtEachAddress(std::move(present))) {
-    listed.insert(it.instance);
+  for (const auto& it : KeepLatestAtEachEndpoint(std::move(present))) {
+    listed_instances.insert(it.instance);
     Row& row = rows_[it.instance];
     const bool was_missing = row.record.is_missing;
     const bool is_new = row.listed_at == 0 || row.is_gone || (was_missing && !it.is_missing);
     if (row.listed_at == 0) row.listed_at = now;
     // A store that came back older may list one as ready that had said it leaves.
-    const bool was_leaving = row.record.is_leaving || said_leaving_.count(it.instance) > 0;
+    const bool was_leaving = row.record.is_leaving || gone_after_leaving_.count(it.instance) > 0;
     row.record = it;
     row.record.is_leaving = it.is_leaving || was_leaving;
-    if (is_new) note(ListingNews::kListed, row.record);
-    if (it.is_missing && !was_missing) note(ListingNews::kMissing, row.record);
-    if (row.record.is_leaving && !was_leaving) note(ListingNews::kLeaving, row.record);
+    if (is_new) add_change(UpstreamChangeKind::kListed, row.record);
+    if (it.is_missing && !was_missing) add_change(UpstreamChangeKind::kMissing, row.record);
+    if (row.record.is_leaving && !was_leaving) add_change(UpstreamChangeKind::kLeaving, row.record);
     row.is_gone = false;
     Index(&row);
   }
   for (auto it = rows_.begin(); it != rows_.end();) {
     Row& row = it->second;
-    if (listed.count(it->first) == 0 && !row.is_gone) {
+    if (listed_instances.count(it->first) == 0 && !row.is_gone) {
       row.is_gone = true;
-      note(ListingNews::kGone, row.record);
+      add_change(UpstreamChangeKind::kGone, row.record);
     }
     // Requests under way still refer to the row.
     const bool is_over = row.is_gone && row.in_flight == 0;
-    if (is_over && row.record.is_leaving) said_leaving_[it->first] = now;
+    if (is_over && row.record.is_leaving) gone_after_leaving_[it->first] = now;
     if (is_over) Unindex(&row);
     it = is_over ? rows_.erase(it) : std::next(it);
   }
   return changes;
 }
 
-void UpstreamTable::ForgetLeft(TimeMs now) {
-  for (auto it = said_leaving_.begin(); it != said_leaving_.end();) {
-    it = now - it->second >= kLeftKnownMs ? said_leaving_.erase(it) : std::next(it);
+void UpstreamTable::ForgetOldDepartures(TimeMs now) {
+  for (auto it = gone_after_leaving_.begin(); it != gone_after_leaving_.end();) {
+    it = now - it->second >= kDepartureMemoryMs ? gone_after_leaving_.erase(it) : std::next(it);
   }
 }
 
-void UpstreamTable::NoteLeft(const std::string& service, TimeMs now) {
-  constexpr std::size_t kMostRemembered = 1024;
-  auto& left = left_[service];
+void UpstreamTable::RecordDeparture(const std::string& service, TimeMs now) {
+  constexpr std::size_t kMaxRemembered = 1024;
+  auto& left = departures_[service];
   left.push_back(now);
-  if (left.size() > kMostRemembered) left.pop_front();
+  if (left.size() > kMaxRemembered) left.pop_front();
 }
 
 void UpstreamTable::Index(Row* row) {
@@ -145,19 +145,19 @@
       if (!Contains(models, it.name)) models.push_back(it.name);
     }
   }
-  if (models == row->indexed) return;
+  if (models == row->indexed_models) return;
   Unindex(row);
   for (const auto& it : models) holders_[it].push_back(row);
-  row->indexed = std::move(models);
+  row->indexed_models = std::move(models);
 }
 
 void UpstreamTable::Unindex(Row* row) {
-  for (const auto& it : row->indexed) {
+  for (const auto& it : row->indexed_models) {
     auto& rows = holders_[it];
     rows.erase(std::remove(rows.begin(), rows.end(), row), rows.end());
     if (rows.empty()) holders_.erase(it);
   }
-  row->indexed.clear();
+  row->indexed_models.clear();
 }
 
 void UpstreamTable::ApplyServices(const std::vector<ServiceSpec>& services) {
@@ -180,12 +180,13 @@
 }
 
 bool UpstreamTable::IsFresh(const Row& row, TimeMs now) const {
-  return row.view_at != 0 && now - row.view_at <= RoutingTimes::kViewFreshMs;
+  return row.view_at != 0 && now - row.view_at <= RoutingTimes::kViewMaxAgeMs;
 }
 
-bool UpstreamTable::IsMute(const Row& row, TimeMs now) const {
+bool UpstreamTable::IsUnresponsive(const Row& row, TimeMs now) const {
   if (!options_.policy.avoids_mute) return false;
-  return row.unheard_since != 0 && now - row.unheard_since > kMuteMs && !IsFresh(row, now);
+  return row.unanswered_since != 0 && now - row.unanswered_since > kUnresponsiveMs &&
+         !IsFresh(row, now);
 }
 
 bool UpstreamTable::HasFreshView(const std::string& instance, TimeMs now) const {
@@ -204,7 +205,7 @@
   return engines;
 }
 
-int UpstreamTable::Entries(TimeMs now) const {
+int UpstreamTable::CountEntries(TimeMs now) const {
   int entries = 1;
   for (const auto& [instance, row] : rows_) {
     if (IsFresh(row, now)) entries = std::max(entries, row.view.entries);
@@ -219,14 +220,15 @@
 }
 
 bool UpstreamTable::IsUsable(const Row& row, std::string_view service, TimeMs now) const {
-  return IsPresent(row, service) && row.ejected_until <= now && !IsMute(row, now);
+  return IsPresent(row, service) && row.ejected_until <= now && !IsUnresponsive(row, now);
 }
 
-const UpstreamTable::Row* UpstreamTable::SoonestOpen(const std::vector<Row*>& closed) {
-  const auto first = std::min_element(closed.begin(), closed.end(), [](const Row* a, const Row* b) {
-    return a->terms.OpensAt() < b->terms.OpensAt();
-  });
-  return first == closed.end() ? nullptr : *first;
+const UpstreamTable::Row* UpstreamTable::SoonestAvailable(const std::vector<Row*>& unavailable) {
+  const auto first =
+      std::min_element(unavailable.begin(), unavailable.end(), [](const Row* a, const Row* b) {
+        return a->throttle.AvailableAt() < b->throttle.AvailableAt();
+      });
+  return first == unavailable.end() ? nullptr : *first;
 }
 
 bool UpstreamTable::Holds(const Row& row, const ModelRef& model, TimeMs now) const {
@@ -246,28 +248,28 @@
   return it != rows_.end() && IsPresent(it->second, it->second.record.service);
 }
 
-bool UpstreamTable::HoldsNow(const std::string& instance, const ModelRef& model, TimeMs now) const {
+bool UpstreamTable::HasModel(const std::string& instance, const ModelRef& model, TimeMs now) const {
   const auto it = rows_.find(instance);
   return it != rows_.end() && Holds(it->second, model, now);
 }
 
-double UpstreamTable::LoadOf(const Row& row, const PickRequest& request, TimeMs now) const {
+double UpstreamTable::LoadScore(const Row& row, const PickRequest& request, TimeMs now) const {
   double load = row.in_flight;
   if (IsFresh(row, now)) {
     load = row.view.running + row.view.waiting + row.sent_since_view;
-    if (row.view.kv_share > kFullKvShare) load += kFullKvLoad;
+    if (row.view.kv_usage > kFullKvShare) load += kFullKvLoad;
     if (options_.policy.spreads) {
-      load += kSpreadLoad * Chance(request.request_id, row.record.instance);
+      load += kSpreadLoad * HashFraction(request.request_id, row.record.instance);
     }
   }
   load = load * 64 / std::max(1, row.record.slots);
   const bool is_far = row.record.data_hall != options_.data_hall;
-  if (is_far && options_.policy.prefers_hall) load += kOtherHallLoad;
+  if (is_far && options_.policy.prefers_hall) load += kOtherDataHallLoad;
   if (Contains(request.risky, row.record.instance)) load += kRiskyLoad;
   // A failure not yet followed by a success makes others the better choice.
   load += 16.0 * row.failures;
   if (!request.affinity.empty() && options_.policy.prefers_prompts) {
-    load -= kAffinityLoad * Chance(request.affinity, row.record.instance);
+    load -= kAffinityLoad * HashFraction(request.affinity, row.record.instance);
   }
   return load;
 }
@@ -277,16 +279,16 @@
 // places that were free then.
 bool UpstreamTable::IsFull(const Row& row, TimeMs now) const {
   if (!IsFresh(row, now) || row.record.slots <= 0) return false;
-  const double places = kPlacesPart * row.record.slots;
+  const double places = kQueueFactor * row.record.slots;
   const double free = places - row.view.running - row.view.waiting;
-  const double mine = std::max(kLeastPart, free / std::max(1, row.view.entries));
-  return free <= 0 ? row.sent_since_view >= 1 : row.sent_since_view >= mine;
+  const double entry_share = std::max(kMinEntryShare, free / std::max(1, row.view.entries));
+  return free <= 0 ? row.sent_since_view >= 1 : row.sent_since_view >= entry_share;
 }
 
 // The least loaded of those that hold the model. A place to wait for when all of
 // them are full or taken; none when no usable one holds it.
-Pick UpstreamTable::ChooseHolder(const PickRequest& request, const std::vector<Row*>& holders,
-                                 TimeMs now) const {
+PickResult UpstreamTable::ChooseHolder(const PickRequest& request, const std::vector<Row*>& holders,
+                                       TimeMs now) const {
   const Row* best = nullptr;
   const Row* full = nullptr;
   const Row* taken = nullptr;
@@ -297,11 +299,11 @@
       full = it;
       continue;
     }
-    if (Contains(request.taken, it->record.instance)) {
+    if (Contains(request.occupied, it->record.instance)) {
       taken = it;
       continue;
     }
-    const double load = LoadOf(*it, request, now);
+    const double load = LoadScore(*it, request, now);
     const bool is_better = best == nullptr || load < best_load ||
                            (load == best_load && it->record.instance < best->record.instance);
     if (!is_better) continue;
@@ -309,64 +311,66 @@
     best_load = load;
   }
   if (best != nullptr) return SendTo{best->record.instance};
-  if (full != nullptr) return WaitFor{full->record.instance, kFullMs, "place", 0};
+  if (full != nullptr) return WaitFor{full->record.instance, kFullRetryMs, "place", 0};
   // Only requests for models can wait; of the others two suspects share an upstream.
   if (taken != nullptr && !request.model) return SendTo{taken->record.instance};
-  if (taken != nullptr) return WaitFor{taken->record.instance, kTakenMs, "alone", 0};
-  return NoneLeft{"all_tried"};
+  if (taken != nullptr) return WaitFor{taken->record.instance, kOccupiedRetryMs, "alone", 0};
+  return NoUpstream{"all_tried"};
 }
 
-UpstreamTable::Candidates UpstreamTable::HoldersFor(const PickRequest& request, TimeMs now) {
+UpstreamTable::Candidates UpstreamTable::FindHolders(const PickRequest& request, TimeMs now) {
   Candidates holders;
   const auto known = holders_.find(request.model->model);
   if (known == holders_.end()) return holders;
   for (Row* it : known->second) {
     const bool is_untried = !Contains(request.tried, it->record.instance);
     if (!is_untried || !IsUsable(*it, request.service, now)) continue;
-    if (it->terms.OpensAt() <= now) {
-      holders.open.push_back(it);
+    if (it->throttle.AvailableAt() <= now) {
+      holders.available.push_back(it);
     } else if (Holds(*it, *request.model, now)) {
-      holders.closed.push_back(it);
+      holders.unavailable.push_back(it);
     }
   }
   return holders;
 }
 
 // All ejected: any that is listed and takes requests is better than a refusal.
-UpstreamTable::Candidates UpstreamTable::UsableFor(std::string_view service, TimeMs now) {
+UpstreamTable::Candidates UpstreamTable::FindUsable(std::string_view service, TimeMs now) {
   Candidates usable;
   Candidates ejected;
   for (auto& [instance, row] : rows_) {
     if (!IsPresent(row, service)) continue;
-    Candidates& its = IsUsable(row, service, now) ? usable : ejected;
-    (row.terms.OpensAt() > now ? its.closed : its.open).push_back(&row);
+    Candidates& group = IsUsable(row, service, now) ? usable : ejected;
+    (row.throttle.AvailableAt() > now ? group.unavailable : group.available).push_back(&row);
   }
-  if (!usable.open.empty()) return usable;
-  ejected.closed.insert(ejected.closed.end(), usable.closed.begin(), usable.closed.end());
+  if (!usable.available.empty()) return usable;
+  ejected.unavailable.insert(ejected.unavailable.end(), usable.unavailable.begin(),
+                             usable.unavailable.end());
   return ejected;
 }
 
-Pick UpstreamTable::Choose(const PickRequest& request, TimeMs now) {
-  std::optional<WaitFor> opening;  // A holder that takes requests again later.
+PickResult UpstreamTable::Choose(const PickRequest& request, TimeMs now) {
+  std::optional<WaitFor> reopening;  // A holder that takes requests again later.
   if (request.model) {
-    const Candidates holders = HoldersFor(request, now);
-    const Pick pick = ChooseHolder(request, holders.open, now);
-    if (!std::holds_alternative<NoneLeft>(pick)) return pick;
-    const Row* row = SoonestOpen(holders.closed);
+    const Candidates holders = FindHolders(request, now);
+    const PickResult pick = ChooseHolder(request, holders.available, now);
+    if (!std::holds_alternative<NoUpstream>(pick)) return pick;
+    const Row* row = SoonestAvailable(holders.unavailable);
     if (row != nullptr)
-      opening = WaitFor{row->record.instance, row->terms.OpensAt() - now, "closed", 0};
+      reopening = WaitFor{row->record.instance, row->throttle.AvailableAt() - now, "closed", 0};
   }
-  const Candidates usable = UsableFor(request.service, now);
+  const Candidates usable = FindUsable(request.service, now);
   std::vector<Row*> untried;
-  std::copy_if(usable.open.begin(), usable.open.end(), std::back_inserter(untried),
+  std::copy_if(usable.available.begin(), usable.available.end(), std::back_inserter(untried),
                [&](const Row* it) { return !Contains(request.tried, it->record.instance); });
-  const Pick pick = ChooseHolder(request, untried, now);
-  if (!std::holds_alternative<NoneLeft>(pick)) return pick;
-  if (request.model && !untried.empty()) return ChooseLoad(request, untried, opening, now);
-  if (opening) return *opening;
-  const Row* row = SoonestOpen(usable.closed);
-  if (row != nullptr) return NoneLeft{"upstreams take nothing now", row->terms.OpensAt() - now};
-  return NoneLeft{usable.open.empty() ? "no_upstream" : "all_tried", 0};
+  const PickResult pick = ChooseHolder(request, untried, now);
+  if (!std::holds_alternative<NoUpstream>(pick)) return pick;
+  if (request.model && !untried.empty()) return ChooseLoadTarget(request, untried, reopening, now);
+  if (reopening) return *reopening;
+  const Row* row = SoonestAvailable(usable.unavailable);
+  if (row != nullptr)
+    return NoUpstream{"upstreams take nothing now", row->throttle.AvailableAt() - now};
+  return NoUpstream{usable.available.empty() ? "no_upstream" : "all_tried", 0};
 }
 
 void UpstreamTable::OnArrival(const std::optional<ModelRef>& model, int priority,
@@ -374,28 +378,30 @@
   if (!model) return;
   if (first_arrival_ == 0) first_arrival_ = now;
   ModelRate& rate = rates_[model->model];
-  const double passed = static_cast<double>(now - rate.at);
-  rate.per_s = rate.per_s * std::exp(-passed / kRateMemoryMs) + 1000.0 / kRateMemoryMs;
+  const double elapsed = static_cast<double>(now - rate.at);
+  rate.requests_per_s =
+      rate.requests_per_s * std::exp(-elapsed / kRateTimeConstantMs) + 1000.0 / kRateTimeConstantMs;
   rate.at = now;
   rate.last_request = now;
   rate.priority = priority;
   rate.target_ms = target_ms;
 }
 
-double UpstreamTable::RateOf(const std::string& model, TimeMs now) const {
+double UpstreamTable::RequestRate(const std::string& model, TimeMs now) const {
   const auto it = rates_.find(model);
   if (it == rates_.end()) return 0;
-  const double average =
-      it->second.per_s * std::exp(-static_cast<double>(now - it->second.at) / kRateMemoryMs);
+  const double average = it->second.requests_per_s *
+                         std::exp(-static_cast<double>(now - it->second.at) / kRateTimeConstantMs);
   // An entry that has just started has seen only a part of what it averages over.
-  const double seen = 1 - std::exp(-static_cast<double>(now - first_arrival_) / kRateMemoryMs);
-  return average / std::max(seen, kLeastSeen);
+  const double observed =
+      1 - std::exp(-static_cast<double>(now - first_arrival_) / kRateTimeConstantMs);
+  return average / std::max(observed, kMinObservedShare);
 }
 
 void UpstreamTable::OnFirstEvent(const ModelRef& model, DurationMs waited_ms) {
   double& average = rates_[model.model].first_event_ms;
   const auto waited = static_cast<double>(waited_ms);
-  average = average == 0 ? waited : average + kFirstEventPart * (waited - average);
+  average = average == 0 ? waited : average + kFirstEventWeight * (waited - average);
 }
 
 DurationMs UpstreamTable::FirstEventMs(const ModelRef& model) const {
@@ -407,21 +413,21 @@
                            TimeMs now) {
   const auto it = rows_.find(instance);
   if (it == rows_.end()) return;
-  if (it->second.unheard_since == 0) it->second.unheard_since = now;
+  if (it->second.unanswered_since == 0) it->second.unanswered_since = now;
   ++it->second.in_flight;
   ++it->second.sent_since_view;
-  it->second.terms.OnSent(now);
+  it->second.throttle.OnSent(now);
   if (model) ++it->second.in_flight_by_model[*model];
 }
 
-void UpstreamTable::OnHeard(const std::string& instance, TimeMs now) {
+void UpstreamTable::OnResponseData(const std::string& instance, TimeMs now) {
   const auto it = rows_.find(instance);
   if (it == rows_.end()) return;
-  it->second.unheard_since = it->second.in_flight > 1 ? now : 0;
+  it->second.unanswered_since = it->second.in_flight > 1 ? now : 0;
 }
 
-void UpstreamTable::OnEnd(const std::string& instance, const std::optional<ModelRef>& model,
-                          AttemptEnd end, TimeMs now) {
+void UpstreamTable::OnAttemptEnd(const std::string& instance, const std::optional<ModelRef>& model,
+                                 AttemptOutcome end, TimeMs now) {
   const auto it = rows_.find(instance);
   if (it == rows_.end()) return;
   Row& row = it->second;
@@ -431,62 +437,63 @@
     if (--n <= 0) row.in_flight_by_model.erase(*model);
   }
   // A caller that leaves says nothing of the upstream, unless that is mute.
-  const bool was_mute = end == AttemptEnd::kAbandoned && IsMute(row, now);
-  if (row.in_flight == 0) row.unheard_since = 0;
-  if (end == AttemptEnd::kServed) {
+  const bool was_unresponsive = end == AttemptOutcome::kCallerLeft && IsUnresponsive(row, now);
+  if (row.in_flight == 0) row.unanswered_since = 0;
+  if (end == AttemptOutcome::kServed) {
     row.failures = 0;
     row.ejections = 0;
     return;
   }
-  const bool is_fault = end == AttemptEnd::kFailed || end == AttemptEnd::kUnreachable ||
-                        end == AttemptEnd::kSilent || was_mute;
+  const bool is_fault = end == AttemptOutcome::kFailed || end == AttemptOutcome::kUnreachable ||
+                        end == AttemptOutcome::kTimedOut || was_unresponsive;
   if (!is_fault) return;
   ++row.failures;
   // Nobody listens there: certain at once, unlike a failed answer.
-  const bool is_out =
-      row.failures >= kFailuresToEject || end == AttemptEnd::kUnreachable || was_mute;
-  if (!is_out || !options_.policy.ejects) return;
-  const DurationMs out = std::min(kLongestEjectMs, kEjectMs << std::min(row.ejections, 6));
+  const bool is_ejected =
+      row.failures >= kFailuresToEject || end == AttemptOutcome::kUnreachable || was_unresponsive;
+  if (!is_ejected || !options_.policy.ejects) return;
+  const DurationMs out = std::min(kMaxEjectMs, kEjectMs << std::min(row.ejections, 6));
   row.ejected_until = now + out;
   ++row.ejections;
   row.failures = kFailuresToEject - 1;
 }
 
-UpstreamTerms* UpstreamTable::FindTerms(const std::string& instance) {
+UpstreamThrottle* UpstreamTable::FindThrottle(const std::string& instance) {
   const auto it = rows_.find(instance);
-  return it == rows_.end() ? nullptr : &it->second.terms;
+  return it == rows_.end() ? nullptr : &it->second.throttle;
 }
 
 std::optional<double> UpstreamTable::LimitOf(const std::string& instance) const {
   const auto it = rows_.find(instance);
-  return it == rows_.end() ? std::nullopt : it->second.terms.limit_per_s();
+  return it == rows_.end() ? std::nullopt : it->second.throttle.limit_per_s();
 }
 
-bool UpstreamTable::IsResting(const std::string& instance, TimeMs now) const {
+bool UpstreamTable::IsBackingOff(const std::string& instance, TimeMs now) const {
   const auto it = rows_.find(instance);
-  return it != rows_.end() && it->second.terms.IsResting(now);
+  return it != rows_.end() && it->second.throttle.IsBackingOff(now);
 }
 
 int UpstreamTable::CountLimited() const {
   return static_cast<int>(std::count_if(rows_.begin(), rows_.end(), [](const auto& it) {
-    return it.second.terms.limit_per_s() && !it.second.is_gone;
+    return it.second.throttle.limit_per_s() && !it.second.is_gone;
   }));
 }
 
-bool UpstreamTable::OnSaidLeaving(const std::string& instance, TimeMs now) {
+bool UpstreamTable::OnLeavingNotice(const std::string& instance, TimeMs now) {
   const auto it = rows_.find(instance);
   if (it == rows_.end() || it->second.record.is_leaving) return false;
   it->second.record.is_leaving = true;
-  NoteLeft(it->second.record.service, now);
+  RecordDeparture(it->second.record.service, now);
   return true;
 }
 
-void UpstreamTable::OnOtherInstance(const std::string& instance) {
+void UpstreamTable::OnInstanceReplaced(const std::string& instance) {
   const auto it = rows_.find(instance);
   if (it != rows_.end()) it->second.was_replaced = true;
 }
 
-void UpstreamTable::OnNotLoaded(const std::string& instance, const ModelRef& model, TimeMs now) {
+void UpstreamTable::OnModelNotLoaded(const std::string& instance, const ModelRef& model,
+                                     TimeMs now) {
   const auto it = rows_.find(instance);
   if (it != rows_.end()) it->second.not_loaded_until[model] = now + kNotLoadedMs;
 }
--- a/test/direct_agent_test.cc
+++ b/test/direct_agent_test.cc
@@ -81,7 +81,7 @@
     AgentDemand demand;
     demand.entry = "entry-1";
     demand.instance = instance;
-    demand.takes_updates = takes_updates;
+    demand.accepts_view_updates = takes_updates;
     demand.wanted.push_back(ModelDemand{{"m1", {}}, 1, 0, 0});
     entry.Send("agent", link, EncodeDemand(demand));
   }
--- a/test/fleet_test.cc
+++ b/test/fleet_test.cc
@@ -21,7 +21,7 @@
 EngineSpec MakeSpec() {
   EngineSpec spec;
   spec.accelerator_mb = 230;
-  spec.adapter_places = 8;
+  spec.adapter_slots = 8;
   for (int n = 0; n < kModels; ++n) {
     spec.models.push_back({ModelName(n), 72, 1, kStoreLoadMs, 800, 400});
   }
@@ -34,9 +34,9 @@
   PlacementCore core;
   EngineReport report;
   std::string loading;
-  double left_ms = 0;  // Of the load, at full speed.
+  double load_remaining_ms = 0;  // Of the load, at full speed.
 
-  void Take(const EngineOrder& order) {
+  void Execute(const EngineOrder& order) {
     ++report.sequence;
     if (order.kind == OrderKind::kUnload) {
       auto& loaded = report.loaded;
@@ -49,13 +49,13 @@
     }
     report.is_busy = true;
     loading = order.target.model;
-    left_ms = kStoreLoadMs;
+    load_remaining_ms = kStoreLoadMs;
   }
 
-  void GoOn(double speed) {
+  void Advance(double speed) {
     if (loading.empty()) return;
-    left_ms -= static_cast<double>(kStepMs) * speed;
-    if (left_ms > 0) return;
+    load_remaining_ms -= static_cast<double>(kStepMs) * speed;
+    if (load_remaining_ms > 0) return;
     report.is_busy = false;
     report.loaded.push_back({loading, {}});
     report.on_disk.push_back(loading);
@@ -93,16 +93,16 @@
   // Each model that is not up has one request waiting at one entry.
   void Step() {
     now_ += kStepMs;
-    for (auto& it : engines_) Serve(it);
-    for (int n = 0; n < kEntries; ++n) Ask(n);
+    for (auto& it : engines_) StepEngine(it);
+    for (int n = 0; n < kEntries; ++n) StepEntry(n);
     int loads = 0;
     for (const auto& it : engines_) loads += it.loading.empty() ? 0 : 1;
-    most_loads_ = std::max(most_loads_, loads);
+    peak_loads_ = std::max(peak_loads_, loads);
     const double speed = loads <= kLoadsAtFullSpeed ? 1 : kLoadsAtFullSpeed / loads;
-    for (auto& it : engines_) it.GoOn(speed);
+    for (auto& it : engines_) it.Advance(speed);
   }
 
-  bool IsUp(int model) const {
+  bool IsLoaded(int model) const {
     for (const auto& engine : engines_) {
       for (const auto& it : engine.report.loaded) {
         if (it.name == ModelName(model)) return true;
@@ -111,40 +111,40 @@
     return false;
   }
 
-  int ModelsUp() const {
+  int CountLoadedModels() const {
     int n = 0;
-    for (int model = 0; model < kModels; ++model) n += IsUp(model) ? 1 : 0;
+    for (int model = 0; model < kModels; ++model) n += IsLoaded(model) ? 1 : 0;
     return n;
   }
 
-  int most_loads() const { return most_loads_; }
+  int peak_loads() const { return peak_loads_; }
 
  private:
-  void Serve(Engine& engine) {
+  void StepEngine(Engine& engine) {
     engine.core.OnReport(engine.report, now_);
     const auto order = engine.core.NextOrder(now_);
     if (order) {
-      engine.Take(*order);
+      engine.Execute(*order);
       engine.core.OnAnswer(*order, OrderAnswer::kAccepted, now_);
     }
     const EngineView view = engine.core.View(now_);
     for (auto& it : entries_) it.ApplyView(view, now_);
   }
 
-  void Ask(int entry) {
+  void StepEntry(int entry) {
     UpstreamTable& table = entries_[static_cast<std::size_t>(entry)];
-    std::vector<UpstreamTable::Waiting> waiting;
+    std::vector<UpstreamTable::WaitingRequests> waiting;
     for (int model = entry; model < kModels; model += kEntries) {
-      if (IsUp(model)) continue;
+      if (IsLoaded(model)) continue;
       PickRequest request;
       request.service = "engine";
       request.model = ModelRef{ModelName(model), ""};
-      const Pick pick = table.Choose(request, now_);
+      const PickResult pick = table.Choose(request, now_);
       const auto* wait = std::get_if<WaitFor>(&pick);
       if (wait == nullptr) continue;
       waiting.push_back({*request.model, "engine", 1, 0, now_, wait->instance});
     }
-    const auto demands = table.Demands(waiting, now_);
+    const auto demands = table.BuildDemands(waiting, now_);
     for (auto& engine : engines_) {
       const auto demand = demands.find(engine.instance);
       if (demand == demands.end()) continue;
@@ -155,29 +155,30 @@
   TimeMs now_ = 100000;
   std::vector<Engine> engines_;
   std::vector<UpstreamTable> entries_;
-  int most_loads_ = 0;
+  int peak_loads_ = 0;
 };
 
 }  // namespace
 
-TEST_GROUP(Fleets){};
+TEST_GROUP(FleetSimulation){};
 
-TEST(Fleets, ThatLostAllWeightsBringTheFirstModelsUpAsSoonAsTheStoreCan) {
+TEST(FleetSimulation, LoadsFirstModelsAtStoreSpeedAfterTotalLoss) {
   // after all VMs had lost power each engine loaded from
   // the store at once, and nothing was up for twenty seconds.
   Fleet fleet;
   for (DurationMs ms = 0; ms < kStoreLoadMs + 1000; ms += kStepMs) fleet.Step();
-  EXPECT_TRUE(fleet.ModelsUp() >= 4, "four loads at full speed are over after 6 s, got " +
-                                         std::to_string(fleet.ModelsUp()));
-  EXPECT_TRUE(fleet.most_loads() <= 5,
-              "expected four at once and hardly more, got " + std::to_string(fleet.most_loads()));
+  EXPECT_TRUE(fleet.CountLoadedModels() >= 4, "four loads at full speed are over after 6 s, got " +
+                                                  std::to_string(fleet.CountLoadedModels()));
+  EXPECT_TRUE(fleet.peak_loads() <= 5,
+              "expected four at once and hardly more, got " + std::to_string(fleet.peak_loads()));
 }
 
-TEST(Fleets, ThatLostAllWeightsKeepTheStoreInFullUseUntilAllModelsAreUp) {
+TEST(FleetSimulation, KeepsStoreBusyUntilAllModelsAreLoaded) {
   Fleet fleet;
   const DurationMs at_best = kStoreLoadMs * kModels / static_cast<DurationMs>(kLoadsAtFullSpeed);
   for (DurationMs ms = 0; ms < at_best * 5 / 4; ms += kStepMs) fleet.Step();
-  EXPECT_NUMBER(kModels, fleet.ModelsUp(), "in a quarter more than the store needs for all");
+  EXPECT_NUMBER(kModels, fleet.CountLoadedModels(),
+                "in a quarter more than the store needs for all");
 }
 
 }  // namespace junctionrail
--- a/test/gateway_keys_test.cc
+++ b/test/gateway_keys_test.cc
@@ -44,9 +44,9 @@
   void Put(std::uint64_t version) {
     RoutingConfiguration configuration;
     configuration.version = version;
-    configuration.routes = {MakeRoute("/a/", CallKind::kRepeatable, "plain"),
-                            MakeRoute("/m/", CallKind::kRepeatable, "engine"),
-                            MakeRoute("/open/", CallKind::kRepeatable, "plain")};
+    configuration.routes = {MakeRoute("/a/", RequestKind::kIdempotent, "plain"),
+                            MakeRoute("/m/", RequestKind::kIdempotent, "engine"),
+                            MakeRoute("/open/", RequestKind::kIdempotent, "plain")};
     configuration.routes.back().is_public = true;
     EngineSpec engine;
     engine.models.push_back({"m1", 10, 1, 20000, 20000, 20000});
--- a/test/gateway_test.cc
+++ b/test/gateway_test.cc
@@ -38,7 +38,7 @@
   World world;
   world.AddUpstream("u1", "plain",
                     [](const SeenRequest&, const Peer& peer) { peer->Write(Answer("hello")); });
-  world.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
+  world.Configure({MakeRoute("/a/", RequestKind::kNonIdempotent, "plain")});
   const std::string answer = world.Ask(Request("POST /a/b?q=1", "X-Own: v\r\n", "body"));
   EXPECT_TRUE(Holds(answer, "200 OK") && Holds(answer, "hello"), answer);
   EXPECT_TRUE(Holds(answer, "Junctionrail-Proof: p"), "the upstream's fields go on");
@@ -52,7 +52,7 @@
 TEST(GatewayServes, AnswersUnavailableBeforeAConfigurationIsKnownAndNotFoundAfter) {
   World world;
   EXPECT_TRUE(Holds(world.Ask(Request("GET /a/b")), "503 "), "nothing is known yet");
-  world.Configure({MakeRoute("/a/", CallKind::kRepeatable, "plain")});
+  world.Configure({MakeRoute("/a/", RequestKind::kIdempotent, "plain")});
   EXPECT_TRUE(Holds(world.Ask(Request("GET /other")), "404 "), "no route has this prefix");
 }
 
@@ -62,7 +62,7 @@
   World world(options);
   world.AddUpstream("u1", "plain",
                     [](const SeenRequest&, const Peer& peer) { peer->Write(Answer("")); });
-  world.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
+  world.Configure({MakeRoute("/a/", RequestKind::kNonIdempotent, "plain")});
   world.Ask(Request("GET /a/", "Junctionrail-Hold: 7\r\nJunctionrail-Expected-Instance: u9\r\n"));
   const SeenRequest& seen = world.upstreams[0]->seen().at(0);
   EXPECT_TEXT("(none)", seen.Field("Junctionrail-Hold"), "a reserved field is dropped");
@@ -76,7 +76,7 @@
     peer->Write(StreamHead() + Event(1));
     stream = peer;
   });
-  world.Configure({MakeRoute("/s/", CallKind::kStream, "engine")});
+  world.Configure({MakeRoute("/s/", RequestKind::kStreaming, "engine")});
   TestCaller caller(world.io, world.port);
   caller.Send(Request("POST /s/"));
   EXPECT_TRUE(caller.AwaitText("id: 1"), "the first event comes before the second is made");
@@ -96,7 +96,7 @@
   };
   world.AddUpstream("u1", "plain", script);
   world.AddUpstream("u2", "plain", script);
-  world.Configure({MakeRoute("/a/", CallKind::kRepeatable, "plain")});
+  world.Configure({MakeRoute("/a/", RequestKind::kIdempotent, "plain")});
   EXPECT_TRUE(Holds(world.Ask(Request("GET /a/")), "200 OK"), "the second upstream served it");
   EXPECT_NUMBER(2, calls, "one failure, one answer");
 }
@@ -110,7 +110,7 @@
   };
   world.AddUpstream("u1", "plain", script);
   world.AddUpstream("u2", "plain", script);
-  world.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
+  world.Configure({MakeRoute("/a/", RequestKind::kNonIdempotent, "plain")});
   const std::string answer = world.Ask(Request("POST /a/", "", "order"));
   EXPECT_TRUE(Holds(answer, "502 ") && Holds(answer, "\"ran\":\"unknown\""), answer);
   EXPECT_NUMBER(1, calls, "it was sent once");
@@ -127,7 +127,7 @@
   };
   world.AddUpstream("u1", "plain", script);
   world.AddUpstream("u2", "plain", script);
-  world.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
+  world.Configure({MakeRoute("/a/", RequestKind::kNonIdempotent, "plain")});
   EXPECT_TRUE(Holds(world.Ask(Request("POST /a/", "", "order")), "200 OK"), "served elsewhere");
 }
 
@@ -139,7 +139,7 @@
         "HTTP/1.1 503 Service Unavailable\r\nJunctionrail-Request-Id: r1\r\n"
         "Junctionrail-Proof: p\r\nContent-Length: 0\r\n\r\n");
   });
-  world.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
+  world.Configure({MakeRoute("/a/", RequestKind::kNonIdempotent, "plain")});
   const std::string answer = world.Ask(Request("POST /a/", "", "order"));
   EXPECT_TRUE(Holds(answer, "502 ") && !Holds(answer, "Junctionrail-Proof"), answer);
 }
@@ -156,8 +156,8 @@
   };
   world.AddUpstream("u1", "plain", script);
   world.AddUpstream("u2", "plain", script);
-  Route route = MakeRoute("/a/", CallKind::kRepeatable, "plain");
-  route.first_answer_ms = 100;
+  Route route = MakeRoute("/a/", RequestKind::kIdempotent, "plain");
+  route.first_byte_target_ms = 100;
   world.Configure({route});
   const std::string answer = world.Ask(Request("GET /a/"));
   EXPECT_TRUE(Holds(answer, "200 OK") && Holds(answer, "late"), answer);
@@ -177,7 +177,7 @@
   };
   world.AddUpstream("u1", "engine", script);
   world.AddUpstream("u2", "engine", script);
-  Route route = MakeRoute("/s/", CallKind::kStream, "engine");
+  Route route = MakeRoute("/s/", RequestKind::kStreaming, "engine");
   route.is_resumable = true;
   world.Configure({route});
   const std::string answer = world.Ask(Request("POST /s/"));
@@ -192,7 +192,7 @@
     peer->Write(StreamHead() + Event(1));
     peer->Close();
   });
-  world.Configure({MakeRoute("/s/", CallKind::kStream, "engine")});
+  world.Configure({MakeRoute("/s/", RequestKind::kStreaming, "engine")});
   const std::string answer = world.Ask(Request("POST /s/"));
   EXPECT_TRUE(Holds(answer, "id: 1"), answer);
   EXPECT_TRUE(!Holds(answer, "0\r\n\r\n"), "no last chunk");
@@ -207,7 +207,7 @@
     if (id == "first") return peer->Write(Answer("one", "first"));
     peer->Write(Answer("one", "first") + Answer("two", id));
   });
-  world.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
+  world.Configure({MakeRoute("/a/", RequestKind::kNonIdempotent, "plain")});
   TestCaller caller(world.io, world.port);
   caller.Send(KeptRequest("GET /a/", "first"));
   EXPECT_TRUE(caller.AwaitText("one"), "the first answer");
@@ -224,7 +224,7 @@
     const std::string id = request.Field("Junctionrail-Request-Id");
     peer->Write(Answer("own", id) + Answer("surplus", id));
   });
-  world.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
+  world.Configure({MakeRoute("/a/", RequestKind::kNonIdempotent, "plain")});
   TestCaller caller(world.io, world.port);
   caller.Send(KeptRequest("GET /a/", "first"));
   EXPECT_TRUE(caller.AwaitText("own"), "the first answer");
@@ -242,7 +242,7 @@
         "HTTP/1.1 200 OK\r\nJunctionrail-Request-Id: r1\r\nJunctionrail-Proof: p\r\n\r\nall");
     is_reset ? peer->Reset() : peer->Close();
   });
-  world.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
+  world.Configure({MakeRoute("/a/", RequestKind::kNonIdempotent, "plain")});
   EXPECT_TRUE(Holds(world.Ask(Request("GET /a/")), "Content-Length: 3"), "closed: whole");
   is_reset = true;
   EXPECT_TRUE(Holds(world.Ask(Request("GET /a/")), "502 "), "reset: not known to be whole");
@@ -254,7 +254,7 @@
   World world;
   world.AddUpstream("u1", "plain",
                     [](const SeenRequest&, const Peer& peer) { peer->Write(Answer("")); });
-  world.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
+  world.Configure({MakeRoute("/a/", RequestKind::kNonIdempotent, "plain")});
   for (const std::string fields :
        {"Content-Length: 3\r\nTransfer-Encoding: chunked\r\n", "Transfer-Encoding: xchunked\r\n",
         "Transfer-Encoding: identity\r\nTransfer-Encoding: chunked\r\n",
@@ -270,7 +270,7 @@
   World world;
   world.limits.max_header_bytes = 512;
   world.limits.max_body_bytes = 16;
-  world.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
+  world.Configure({MakeRoute("/a/", RequestKind::kNonIdempotent, "plain")});
   const std::string long_field = "X-Long: " + std::string(600, 'x') + "\r\n";
   EXPECT_TRUE(Holds(world.Ask(Request("GET /a/", long_field)), "431 "), "the head is too long");
   EXPECT_TRUE(Holds(world.Ask(Request("POST /a/", "", std::string(17, 'x'))), "413 "), "the body");
@@ -279,7 +279,7 @@
 TEST(GatewayRejects, HeadsThatTrickleIn) {
   World world;
   world.limits.header_timeout_ms = 50;
-  world.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
+  world.Configure({MakeRoute("/a/", RequestKind::kNonIdempotent, "plain")});
   TestCaller caller(world.io, world.port);
   caller.Send("GET /a/ HT");
   EXPECT_TRUE(caller.AwaitEnd() && Holds(caller.received(), "408 "), caller.received());
@@ -294,8 +294,8 @@
   EngineWorld() {
     RoutingConfiguration configuration;
     configuration.version = 1;
-    Route route = MakeRoute("/s/", CallKind::kStream, "engine");
-    route.patience_ms = 2000;
+    Route route = MakeRoute("/s/", RequestKind::kStreaming, "engine");
+    route.caller_timeout_ms = 2000;
     configuration.routes = {route};
     EngineSpec spec;
     spec.accelerator_mb = 100;
@@ -308,7 +308,7 @@
     EngineView view;
     view.instance = "u1";
     view.loaded = std::move(loaded);
-    view.at_hand = {"a"};
+    view.cached_models = {"a"};
     gateway->ApplyView(view);
   }
 
@@ -375,7 +375,7 @@
   // An upstream that is paused reads what its kernel holds when it goes on: after
   // an orderly close that would be a request whose caller left long before.
   World world;
-  world.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
+  world.Configure({MakeRoute("/a/", RequestKind::kNonIdempotent, "plain")});
   tcp::acceptor paused(world.io, tcp::endpoint(boost::asio::ip::make_address("127.0.0.1"), 0));
   UpstreamRecord record;
   record.instance = "u1";
@@ -416,7 +416,7 @@
   RoutingConfiguration configuration = world.gateway->configuration();
   configuration.version = 2;
   configuration.routes[0].is_resumable = true;
-  configuration.routes[0].patience_ms = 300;
+  configuration.routes[0].caller_timeout_ms = 300;
   world.gateway->ApplyConfiguration(configuration);
   world.Show({{"b", {}}});
   EngineView other;
@@ -434,7 +434,7 @@
   World world;
   const auto answer = [](const SeenRequest&, const Peer& peer) { peer->Write(Answer("x")); };
   world.AddUpstream("u1", "plain", answer);
-  world.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
+  world.Configure({MakeRoute("/a/", RequestKind::kNonIdempotent, "plain")});
   TestCaller caller(world.io, world.port);
   caller.Send(Request("POST /a/b", "", "body"));
   EXPECT_TRUE(
@@ -450,7 +450,7 @@
   World world;
   world.AddUpstream("u1", "plain",
                     [](const SeenRequest&, const Peer& peer) { peer->Write(Answer("x")); });
-  world.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
+  world.Configure({MakeRoute("/a/", RequestKind::kNonIdempotent, "plain")});
   TestCaller caller(world.io, world.port);
   caller.Send(Request("POST /a/b", "", "body"));
   EXPECT_TRUE(
@@ -470,7 +470,7 @@
   world.limits.idle_timeout_ms = 100;
   world.AddUpstream("u1", "plain",
                     [](const SeenRequest&, const Peer& peer) { peer->Write(Answer("hello")); });
-  world.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
+  world.Configure({MakeRoute("/a/", RequestKind::kNonIdempotent, "plain")});
   TestCaller caller(world.io, world.port);
   RunFor(world.io, 20);
   const std::string request = Request("GET /a/1");
@@ -487,7 +487,7 @@
   World world;
   world.AddUpstream("u1", "plain",
                     [](const SeenRequest&, const Peer& peer) { peer->Write(Answer("late")); });
-  world.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
+  world.Configure({MakeRoute("/a/", RequestKind::kNonIdempotent, "plain")});
   world.Ask(Request("GET /a/1"));
   TestCaller caller(world.io, world.port);
   caller.Send(Request("GET /a/2"));
@@ -502,7 +502,7 @@
   world.AddUpstream("u1", "engine", [](const SeenRequest&, const Peer& peer) {
     peer->Write(StreamHead() + Event(1));
   });
-  world.Configure({MakeRoute("/s/", CallKind::kStream, "engine")});
+  world.Configure({MakeRoute("/s/", RequestKind::kStreaming, "engine")});
   TestCaller caller(world.io, world.port);
   caller.Send(Request("POST /s/"));
   caller.AwaitText("id: 1");
@@ -514,7 +514,7 @@
 TEST(GatewayEnds, AnswersAtTheRoutesTimeLimit) {
   World world;
   world.AddUpstream("u1", "plain", [](const SeenRequest&, const Peer&) {});
-  Route route = MakeRoute("/a/", CallKind::kOnce, "plain");
+  Route route = MakeRoute("/a/", RequestKind::kNonIdempotent, "plain");
   route.timeout_ms = 60;
   world.Configure({route});
   const std::string answer = world.Ask(Request("POST /a/", "", "order"));
@@ -532,7 +532,7 @@
     peer->Write(StreamHead("s") + Event(1));
     stream = peer;
   });
-  world.Configure({MakeRoute("/s/", CallKind::kStream, "engine")});
+  world.Configure({MakeRoute("/s/", RequestKind::kStreaming, "engine")});
   TestCaller caller(world.io, world.port);
   caller.Send(KeptRequest("POST /s/", "s"));
   caller.AwaitText("id: 1");
--- a/test/leaving_upstreams_test.cc
+++ b/test/leaving_upstreams_test.cc
@@ -31,13 +31,13 @@
 
 constexpr DurationMs kPeriodMs = 200;
 
-std::string Record(const std::string& state = "ready") {
+std::string MakeRecord(const std::string& state = "ready") {
   return R"({"service":"plain","address":"10.1.0.40:8145","zone":"hall-1","slots":6,"state":")" +
          state + R"("})";
 }
 
 // An entry's way from the store's list of upstreams to the choice among them.
-struct World {
+struct ListingWorld {
   void Follow(DurationMs period_ms) {
     upstreams = std::make_unique<platform::UpstreamFollower>(
         io, client, log, Freshness::kNewest, period_ms, [this](const UpstreamListing& it) {
@@ -51,7 +51,7 @@
   std::string Choice() {
     PickRequest request;
     request.service = "plain";
-    const Pick pick = gateway.upstreams().Choose(request, MonotonicMs());
+    const PickResult pick = gateway.upstreams().Choose(request, MonotonicMs());
     const auto* to = std::get_if<SendTo>(&pick);
     return to == nullptr ? "" : to->instance;
   }
@@ -79,9 +79,9 @@
 
 TEST_GROUP(LeavingUpstreams){};
 
-TEST(LeavingUpstreams, ListedAfterAnOutageGetNothingOnceTheirRecordIsGone) {
-  World world;
-  world.store.Put("servers/i-1", Record());
+TEST(LeavingUpstreams, DroppedOnceRecordIsGoneAfterOutage) {
+  ListingWorld world;
+  world.store.Put("servers/i-1", MakeRecord());
   world.Follow(kPeriodMs);
   EXPECT_TRUE(world.AwaitChoice("i-1"), "it is listed");
   world.store.mood = StandinStore::Mood::kSilent;
@@ -94,34 +94,34 @@
   EXPECT_TEXT("", world.Choice(), "it has left since the outage");
 }
 
-TEST(LeavingUpstreams, AreSeenToLeaveThoughAReadingGetsNoAnswer) {
-  World world;
-  world.store.Put("servers/i-1", Record());
+TEST(LeavingUpstreams, DetectedDespiteUnansweredPoll) {
+  ListingWorld world;
+  world.store.Put("servers/i-1", MakeRecord());
   world.Follow(kPeriodMs);
   EXPECT_TRUE(world.AwaitChoice("i-1"), "it is listed");
   world.store.HoldNext();
   EXPECT_TRUE(RunUntil(world.io, [&] { return world.store.is_call_held(); }), "");
-  world.store.Put("servers/i-1", Record("draining"));
+  world.store.Put("servers/i-1", MakeRecord("draining"));
   EXPECT_TRUE(world.AwaitChoice(""), "it says that it leaves");
   EXPECT_TRUE(world.store.calls_beside_held() > 0,
               "it was read again while the first call still waited");
 }
 
-TEST(LeavingUpstreams, AreSeenToLeaveHoweverOftenAReadingIsAskedForSooner) {
-  World world;
-  world.store.Put("servers/i-1", Record());
+TEST(LeavingUpstreams, DetectedDespiteFrequentPollRequests) {
+  ListingWorld world;
+  world.store.Put("servers/i-1", MakeRecord());
   world.Follow(kPeriodMs);
   EXPECT_TRUE(world.AwaitChoice("i-1"), "it is listed");
   Timer often(world.io);
   often.Every(50, [&] { world.upstreams->ReadSoon(); });
   RunFor(world.io, 100);
-  world.store.Put("servers/i-1", Record("draining"));
+  world.store.Put("servers/i-1", MakeRecord("draining"));
   EXPECT_TRUE(world.AwaitChoice(""), "it says that it leaves");
 }
 
-TEST(LeavingUpstreams, StayGoneWhenAnOlderReadingIsAnsweredLast) {
-  World world;
-  world.store.Put("servers/i-1", Record());
+TEST(LeavingUpstreams, NotRestoredByLateAnswerToOlderPoll) {
+  ListingWorld world;
+  world.store.Put("servers/i-1", MakeRecord());
   world.Follow(kPeriodMs);
   EXPECT_TRUE(world.AwaitChoice("i-1"), "it is listed");
   world.store.HoldNext();
--- a/test/placement_test.cc
+++ b/test/placement_test.cc
@@ -11,7 +11,7 @@
 EngineSpec MakeSpec() {
   EngineSpec spec;
   spec.accelerator_mb = 230;
-  spec.adapter_places = 2;
+  spec.adapter_slots = 2;
   for (const char* name : {"a", "b", "c", "d", "e"}) {
     spec.models.push_back({name, 72, 1, 6000, 800, 400});
   }
@@ -123,14 +123,14 @@
   EXPECT_TEXT("nothing", engine.Order(), "not even room is made yet");
   engine.now += 300;
   EXPECT_TEXT("nothing", engine.Order(), "");
-  const auto want = engine.core.View(engine.now).store_want;
-  EXPECT_TRUE(want && want->is_waited_for, "entries hear of it");
+  const auto want = engine.core.View(engine.now).store_load_request;
+  EXPECT_TRUE(want && want->has_waiting_requests, "entries hear of it");
   EXPECT_NUMBER(300, want->age_ms, "");
   engine.Ask({Wanted("b", 1), Wanted("a", 1)}, {}, {}, false);
   EXPECT_TRUE(engine.Order().substr(0, 7) == "unload ", "a load from disk does not wait for it");
   engine.Ask({Wanted("b", 1)}, {}, {}, true);
   EXPECT_TRUE(engine.Order().substr(0, 7) == "unload ", "now it makes room");
-  EXPECT_TRUE(!engine.core.View(engine.now).store_want, "and asks no more");
+  EXPECT_TRUE(!engine.core.View(engine.now).store_load_request, "and asks no more");
 }
 
 TEST(PlacementLoads, FromTheWeightStoreOnlyWhenMostEntriesSayThatItHasRoom) {
@@ -162,21 +162,21 @@
   const auto weigh = [&engine](const ModelDemand& demand) {
     engine.Ask({demand}, {}, {}, false);
     engine.Order();
-    return engine.core.View(engine.now).store_want.value_or(StoreWant()).weight;
+    return engine.core.View(engine.now).store_load_request.value_or(StoreLoadRequest()).weight;
   };
   ModelDemand replica = Wanted("a", 0, 1);
-  replica.replica_per_s = 12;
+  replica.requests_per_s_per_replica = 12;
   ModelDemand waiting = Wanted("b", 1, 0);
-  waiting.per_s = 0.2;
+  waiting.requests_per_s = 0.2;
   const double rare = weigh(waiting);
   EXPECT_TRUE(weigh(replica) > rare, "twelve of the class below each second, against one in five");
-  replica.replica_per_s = 1.2;
+  replica.requests_per_s_per_replica = 1.2;
   EXPECT_TRUE(weigh(replica) < rare, "at a tenth of them the rare one comes first");
   waiting.waiting = 9;
   EXPECT_TRUE(weigh(waiting) == rare, "those who wait now have left when the load is over");
   engine.report.on_disk = {"a", "b"};
   engine.Report();
-  replica.replica_per_s = 12;
+  replica.requests_per_s_per_replica = 12;
   engine.Ask({replica, Wanted("b", 1, 0)});
   EXPECT_TEXT("load b", engine.Order(), "from disk, requests that wait come first");
 }
@@ -188,17 +188,17 @@
   engine.report.on_disk = {};
   engine.Report();
   ModelDemand spare = Wanted("a", 0);
-  spare.at_risk_per_s = 3;
+  spare.at_risk_requests_per_s = 3;
   ModelDemand rare = Wanted("b", 1);
-  rare.per_s = 0.2;
+  rare.requests_per_s = 0.2;
   engine.Ask({spare, rare});
   EXPECT_TEXT("load a", engine.Order(), "three a second will look for it in vain");
-  spare.at_risk_per_s = 0.1;
+  spare.at_risk_requests_per_s = 0.1;
   engine.Ask({spare, rare});
   EXPECT_TEXT("load b", engine.Order(), "a request that waits counts more than that");
   for (const char* it : {"b", "c", "d"}) engine.Load(it);
   engine.Report();
-  spare.at_risk_per_s = 30;
+  spare.at_risk_requests_per_s = 30;
   engine.Ask({spare}, {Used("b", 0, 0.5), Used("c", 0, 0.5), Used("d", 0, 0.5)});
   EXPECT_TEXT("nothing", engine.Order(), "nothing that is asked for makes room for it");
 }
@@ -209,12 +209,12 @@
   ModelDemand late = Wanted("a", 2);
   late.late = 2;
   ModelDemand urgent = Wanted("b", 1);
-  urgent.left_ms = 1200;
+  urgent.slack_ms = 1200;
   ModelDemand relaxed = Wanted("c", 1);
-  relaxed.left_ms = 9000;
+  relaxed.slack_ms = 9000;
   engine.Ask({late, urgent, relaxed});
   EXPECT_TEXT("load b", engine.Order(), "it is in time if it is next, and not after another");
-  urgent.left_ms = 300;
+  urgent.slack_ms = 300;
   engine.Ask({late, urgent, relaxed});
   EXPECT_TEXT("load a", engine.Order(), "b is late now too, and two wait for a");
 }
@@ -301,10 +301,10 @@
     it.priority = 0;
   }
   ModelDemand replica = Wanted("d", 0, 0);
-  replica.callers_late = 0.5;
+  replica.late_callers = 0.5;
   engine.Ask({replica}, use);
   EXPECT_TEXT("nothing", engine.Order(), "0.5 s of callers in a second, 1.9 s for those of a");
-  replica.callers_late = 4;
+  replica.late_callers = 4;
   engine.Ask({replica}, use);
   EXPECT_TEXT("unload a", engine.Order(), "four callers late at any moment");
 }
@@ -316,7 +316,7 @@
   engine.Report();
   const std::vector<ModelUse> use = {Used("a", 0, 0.1), Used("b", 0, 3), Used("c", 0, 3)};
   ModelDemand replica = Wanted("d", 0, 0);
-  replica.callers_late = 9;
+  replica.late_callers = 9;
   engine.Ask({replica}, use);
   EXPECT_TEXT("unload a", engine.Order(), "the least asked for");
   engine.Answer(OrderAnswer::kAccepted);
@@ -436,7 +436,7 @@
     engine.Ask({Wanted(n % 2 == 0 ? "a" : "b", 3)});
     engine.now += 250;
   }
-  const double per_s = engine.core.View(engine.now).wants_per_s;
+  const double per_s = engine.core.View(engine.now).model_waits_per_s;
   EXPECT_TRUE(per_s > 1.5 && per_s < 2.2, "two a second, got " + std::to_string(per_s));
 }
 
@@ -448,7 +448,7 @@
   ModelUse busy = Used("a", 0, 10);
   busy.target_ms = 300;
   engine.Ask({}, {busy, Used("b", 0, 0.1)});
-  const auto cost = engine.core.View(engine.now).closing_ms;
+  const auto cost = engine.core.View(engine.now).eviction_cost_ms;
   EXPECT_TRUE(cost.at("a") > 10 * cost.at("b"),
               "got " + std::to_string(cost.at("a")) + " and " + std::to_string(cost.at("b")));
 }
@@ -495,18 +495,18 @@
   EngineView view;
   view.instance = "u1";
   view.loaded = {{"a", {"x"}}, {"b", {}}};
-  view.per_s = {{"a", 1.5}, {"b", 0.5}};
-  view.closing_ms = {{"a", 250}, {"b", 0}};
-  view.store_want = StoreWant{true, 2.5, 40};
-  for (int n = 0; n < 18; ++n) view.at_hand.push_back("model-number-" + std::to_string(n));
+  view.requests_per_s = {{"a", 1.5}, {"b", 0.5}};
+  view.eviction_cost_ms = {{"a", 250}, {"b", 0}};
+  view.store_load_request = StoreLoadRequest{true, 2.5, 40};
+  for (int n = 0; n < 18; ++n) view.cached_models.push_back("model-number-" + std::to_string(n));
   const std::string whole = EncodeView(view);
   EngineView read;
   EXPECT_TRUE(DecodeView(whole, &read), "the first on a link is whole");
 
   EngineView next = view;
   next.running = 7;
-  next.per_s["b"] = 2.5;
-  next.store_want.reset();
+  next.requests_per_s["b"] = 2.5;
+  next.store_load_request.reset();
   EXPECT_TRUE(ChangedParts(view, next).IsEmpty(), "only the engine's load differs");
   const std::string update = EncodeViewUpdate(next, ChangedParts(view, next));
   EXPECT_TRUE(update.size() * 3 < whole.size(), "expected less than a third of " +
@@ -514,20 +514,21 @@
                                                     std::to_string(update.size()));
   EXPECT_TRUE(DecodeView(update, &read), "it decodes");
   EXPECT_NUMBER(7, read.running, "");
-  EXPECT_TRUE(read.per_s.at("b") == 2.5 && read.closing_ms.at("a") == 250, "by model again");
-  EXPECT_NUMBER(18, read.at_hand.size(), "what is not said is as before");
-  EXPECT_TRUE(!read.store_want, "a want that is over is gone");
+  EXPECT_TRUE(read.requests_per_s.at("b") == 2.5 && read.eviction_cost_ms.at("a") == 250,
+              "by model again");
+  EXPECT_NUMBER(18, read.cached_models.size(), "what is not said is as before");
+  EXPECT_TRUE(!read.store_load_request, "a want that is over is gone");
 
   EngineView later = next;
   later.loaded = {{"b", {}}};
-  later.per_s = {{"b", 3}};
-  later.closing_ms = {{"b", 9}};
+  later.requests_per_s = {{"b", 3}};
+  later.eviction_cost_ms = {{"b", 9}};
   later.loading = "c";
-  later.at_hand = {"c"};
+  later.cached_models = {"c"};
   EXPECT_TRUE(DecodeView(EncodeViewUpdate(later, ChangedParts(next, later)), &read), "");
   EXPECT_TRUE(read.loaded == later.loaded && read.loading == "c", "");
-  EXPECT_TRUE(read.per_s.size() == 1 && read.per_s.at("b") == 3, "");
-  EXPECT_NUMBER(1, read.at_hand.size(), "");
+  EXPECT_TRUE(read.requests_per_s.size() == 1 && read.requests_per_s.at("b") == 3, "");
+  EXPECT_NUMBER(1, read.cached_models.size(), "");
 }
 
 TEST(PlacementMessages, ThatUpdateAViewNobodySentAreRefused) {
@@ -538,7 +539,7 @@
               "there is nothing to bring up to date");
   EngineView with_model = view;
   with_model.loaded = {{"a", {}}};
-  with_model.per_s = {{"a", 1}};
+  with_model.requests_per_s = {{"a", 1}};
   EXPECT_TRUE(DecodeView(EncodeView(with_model), &read), "");
   EXPECT_TRUE(!DecodeView(EncodeViewUpdate(view, {}), &read),
               "rates of fewer models than are loaded");
@@ -549,48 +550,48 @@
   view.instance = "u1";
   view.loaded = {{"a", {"x"}}};
   view.loading = "b";
-  view.is_from_store = true;
-  view.remaining_ms = 700;
+  view.is_loading_from_store = true;
+  view.load_remaining_ms = 700;
   view.queue = {"c"};
-  view.at_hand = {"a", "b"};
-  view.kv_share = 0.5;
-  view.store_want = StoreWant{true, 2.5, 40};
-  view.per_s = {{"a", 1.5}};
-  view.closing_ms = {{"a", 250}};
-  view.wants_per_s = 1.25;
+  view.cached_models = {"a", "b"};
+  view.kv_usage = 0.5;
+  view.store_load_request = StoreLoadRequest{true, 2.5, 40};
+  view.requests_per_s = {{"a", 1.5}};
+  view.eviction_cost_ms = {{"a", 250}};
+  view.model_waits_per_s = 1.25;
   EngineView read;
   EXPECT_TRUE(DecodeView(EncodeView(view), &read), "it decodes");
   EXPECT_TEXT("x", read.loaded.at(0).adapters.at(0), "");
   EXPECT_TEXT("b", read.loading, "");
-  EXPECT_NUMBER(700, read.remaining_ms, "");
-  EXPECT_TRUE(read.store_want && read.store_want->is_waited_for, "");
-  EXPECT_NUMBER(40, read.store_want->age_ms, "");
-  EXPECT_TRUE(read.store_want->weight == 2.5, "");
-  EXPECT_TRUE(read.per_s.at("a") == 1.5, "");
-  EXPECT_TRUE(read.closing_ms.at("a") == 250, "");
-  EXPECT_TRUE(read.wants_per_s == 1.25, "");
+  EXPECT_NUMBER(700, read.load_remaining_ms, "");
+  EXPECT_TRUE(read.store_load_request && read.store_load_request->has_waiting_requests, "");
+  EXPECT_NUMBER(40, read.store_load_request->age_ms, "");
+  EXPECT_TRUE(read.store_load_request->weight == 2.5, "");
+  EXPECT_TRUE(read.requests_per_s.at("a") == 1.5, "");
+  EXPECT_TRUE(read.eviction_cost_ms.at("a") == 250, "");
+  EXPECT_TRUE(read.model_waits_per_s == 1.25, "");
   AgentDemand demand{"e", "u1", {Wanted("a", 2, 0, "x", 9)}, {Used("a", 1, 0.5, 2)}, {"d"}, false};
   demand.use[0].adapters_in_use = {"x"};
   demand.use[0].target_ms = 300;
-  demand.wanted[0].callers_late = 2.5;
+  demand.wanted[0].late_callers = 2.5;
   demand.wanted[0].late = 1;
-  demand.wanted[0].left_ms = 700;
-  demand.wanted[0].per_s = 0.25;
-  demand.repeat_ms = 1800;
-  demand.takes_updates = true;
+  demand.wanted[0].slack_ms = 700;
+  demand.wanted[0].requests_per_s = 0.25;
+  demand.resend_interval_ms = 1800;
+  demand.accepts_view_updates = true;
   AgentDemand read_demand;
   EXPECT_TRUE(DecodeDemand(EncodeDemand(demand), &read_demand), "it decodes");
   EXPECT_TEXT("a/x", read_demand.wanted.at(0).ref.ToString(), "");
   EXPECT_TEXT("x", read_demand.use.at(0).adapters_in_use.at(0), "");
   EXPECT_NUMBER(300, read_demand.use.at(0).target_ms, "");
-  EXPECT_TRUE(read_demand.wanted.at(0).callers_late == 2.5, "");
+  EXPECT_TRUE(read_demand.wanted.at(0).late_callers == 2.5, "");
   EXPECT_NUMBER(1, read_demand.wanted.at(0).late, "");
-  EXPECT_NUMBER(700, read_demand.wanted.at(0).left_ms, "");
-  EXPECT_TRUE(read_demand.wanted.at(0).per_s == 0.25, "");
+  EXPECT_NUMBER(700, read_demand.wanted.at(0).slack_ms, "");
+  EXPECT_TRUE(read_demand.wanted.at(0).requests_per_s == 0.25, "");
   EXPECT_TEXT("d", read_demand.stage.at(0), "");
   EXPECT_TRUE(!read_demand.may_load_from_store, "");
-  EXPECT_NUMBER(1800, read_demand.repeat_ms, "");
-  EXPECT_TRUE(read_demand.takes_updates, "");
+  EXPECT_NUMBER(1800, read_demand.resend_interval_ms, "");
+  EXPECT_TRUE(read_demand.accepts_view_updates, "");
 }
 
 TEST(PlacementMessages, OfAVersionWithFewerFieldsAreReadWithDefaults) {
@@ -606,11 +607,11 @@
   AgentDemand demand;
   EXPECT_TRUE(DecodeDemand(bytes, &demand), "a demand of five values a model");
   EXPECT_NUMBER(2, demand.wanted.at(0).waiting, "");
-  EXPECT_TRUE(demand.wanted.at(0).replica_per_s == 0, "");
+  EXPECT_TRUE(demand.wanted.at(0).requests_per_s_per_replica == 0, "");
   EXPECT_NUMBER(0, demand.use.at(0).target_ms, "");
   EXPECT_TRUE(demand.may_load_from_store, "the sender sets no bound");
-  EXPECT_NUMBER(1000, demand.repeat_ms, "the sender repeats each second");
-  EXPECT_TRUE(!demand.takes_updates, "the sender reads whole views only");
+  EXPECT_NUMBER(1000, demand.resend_interval_ms, "the sender repeats each second");
+  EXPECT_TRUE(!demand.accepts_view_updates, "the sender reads whole views only");
 }
 
 TEST(PlacementMessages, OfAVersionWithMoreFieldsAreReadWithoutThem) {
--- a/test/platform_test.cc
+++ b/test/platform_test.cc
@@ -53,14 +53,14 @@
   const auto limit = ReadNotice(200, {{"server-limit", "2.3"}});
   EXPECT_TRUE(limit.limit_per_s == 2.3 && limit.malformed.empty(), "2.3 requests a second");
   const auto rest = ReadNotice(503, {{"Not-Executed", "1"}, {"Retry-After", "0.25"}});
-  EXPECT_NUMBER(250, rest.rest_ms, "milliseconds of rest");
+  EXPECT_NUMBER(250, rest.backoff_ms, "milliseconds of rest");
   EXPECT_TRUE(ReadNotice(200, {{"Server-Leaving", "1"}}).is_leaving, "it leaves");
 }
 
 TEST(Notices, AreNoneWhereAnAnswerSaysNothing) {
   const auto notice = ReadNotice(200, {{"Retry-After", "3"}, {"Server-Leaving", "0"}});
   EXPECT_TRUE(!notice.limit_per_s && !notice.is_leaving, "neither a limit nor that it leaves");
-  EXPECT_NUMBER(0, notice.rest_ms, "only a refusal asks for a rest");
+  EXPECT_NUMBER(0, notice.backoff_ms, "only a refusal asks for a rest");
 }
 
 TEST(Notices, ThatCannotBeReadAreNamedAndChangeNothing) {
@@ -69,10 +69,10 @@
     EXPECT_TRUE(!limit.limit_per_s, text);
     EXPECT_TRUE(limit.malformed.find("Server-Limit") == 0, limit.malformed);
     const auto rest = ReadNotice(503, {{"Retry-After", text}});
-    EXPECT_NUMBER(0, rest.rest_ms, text);
+    EXPECT_NUMBER(0, rest.backoff_ms, text);
     EXPECT_TRUE(rest.malformed.find("Retry-After") == 0, rest.malformed);
   }
-  EXPECT_NUMBER(3600000, ReadNotice(503, {{"Retry-After", "1e300"}}).rest_ms, "an hour at most");
+  EXPECT_NUMBER(3600000, ReadNotice(503, {{"Retry-After", "1e300"}}).backoff_ms, "an hour at most");
 }
 
 TEST_GROUP(Documents){};
@@ -83,12 +83,13 @@
   const RoutingConfiguration& configuration = decoded.value();
   EXPECT_NUMBER(7, configuration.version, "");
   const Route& stream = configuration.routes.at(0);
-  EXPECT_TRUE(stream.kind == CallKind::kStream && stream.is_resumable, "a stream that may go on");
-  EXPECT_NUMBER(2300, stream.patience_ms, "eight pauses of 300 ms, less a margin");
-  EXPECT_NUMBER(10, stream.shares.at(1).weight, "");
+  EXPECT_TRUE(stream.kind == RequestKind::kStreaming && stream.is_resumable,
+              "a stream that may go on");
+  EXPECT_NUMBER(2300, stream.caller_timeout_ms, "eight pauses of 300 ms, less a margin");
+  EXPECT_NUMBER(10, stream.traffic_split.at(1).weight, "");
   const Route& once = configuration.routes.at(1);
-  EXPECT_TRUE(once.kind == CallKind::kOnce && !once.MayRepeat(), "at most once");
-  EXPECT_TEXT("s2", once.shares.at(0).service, "a route without a split");
+  EXPECT_TRUE(once.kind == RequestKind::kNonIdempotent && !once.IsRetryable(), "at most once");
+  EXPECT_TEXT("s2", once.traffic_split.at(0).service, "a route without a split");
   const ModelSpec& model = configuration.services.at(0).engine->models.at(0);
   EXPECT_NUMBER(72700, model.size_mb, "the model's weights");
   EXPECT_NUMBER(230000, configuration.services.at(0).engine->accelerator_mb, "the engine's room");
@@ -434,7 +435,7 @@
   world.store.Put("servers/i-2", kUpstream);
   world.FollowUpstreams(20);
   EXPECT_TRUE(RunUntil(world.io, [&] { return !world.listings.empty(); }), "");
-  const auto kept = KeepLatestAtEachAddress(world.listings[0]);
+  const auto kept = KeepLatestAtEachEndpoint(world.listings[0]);
   EXPECT_NUMBER(1, kept.size(), "the address is one process's");
   EXPECT_TEXT("i-1", kept.at(0).instance, "i-2 was written later but made earlier");
 }
--- a/test/random_placement_test.cc
+++ b/test/random_placement_test.cc
@@ -31,7 +31,7 @@
   EngineSpec Spec() const {
     EngineSpec spec;
     spec.accelerator_mb = kRoomMb;
-    spec.adapter_places = kPlaces;
+    spec.adapter_slots = kPlaces;
     for (int n = 0; n < kModels; ++n) {
       spec.models.push_back({ModelName(n), 72, 1, 600, 120, 80});
     }
--- a/test/routing_test.cc
+++ b/test/routing_test.cc
@@ -7,16 +7,16 @@
 namespace junctionrail {
 namespace {
 
+using testing::MakeRecord;
 using testing::MakeSpec;
-using testing::Record;
-using testing::Table;
-using testing::View;
+using testing::MakeView;
+using testing::TableFixture;
 
 }  // namespace
 
-TEST_GROUP(RouteTables){};
+TEST_GROUP(RouteTable){};
 
-TEST(RouteTables, FindTheLongestPrefixOfTheHost) {
+TEST(RouteTable, FindsLongestPrefixForHost) {
   RoutingConfiguration configuration;
   Route a;
   a.name = "short";
@@ -33,10 +33,10 @@
   EXPECT_TRUE(table.Find("other.example", "/a/") == nullptr, "another host");
 }
 
-TEST(RouteTables, SplitRequestsByWeightAndARequestAlwaysAlike) {
+TEST(RouteTable, SplitsTrafficByWeightDeterministically) {
   Route route;
   route.name = "r";
-  route.shares = {{"big", 90}, {"small", 10}};
+  route.traffic_split = {{"big", 90}, {"small", 10}};
   int small = 0;
   for (int n = 0; n < 1000; ++n) {
     const std::string id = std::to_string(n);
@@ -46,44 +46,44 @@
   EXPECT_TRUE(small > 60 && small < 140, "about a tenth, got " + std::to_string(small));
 }
 
-TEST_GROUP(Budgets){};
+TEST_GROUP(RetryBudget){};
 
-TEST(Budgets, GrowWithRequestsAndExpireWithTheWindow) {
+TEST(RetryBudget, GrowsWithRequestsAndExpiresWithWindow) {
   RetryBudget budget({0.5, 1, 1000});
-  EXPECT_TRUE(budget.TryTake("s", 0), "the fixed allowance");
-  EXPECT_TRUE(!budget.TryTake("s", 0), "is spent");
+  EXPECT_TRUE(budget.TryConsume("s", 0), "the fixed allowance");
+  EXPECT_TRUE(!budget.TryConsume("s", 0), "is spent");
   for (int n = 0; n < 4; ++n) budget.OnRequest("s", 10);
-  EXPECT_TRUE(budget.TryTake("s", 10) && budget.TryTake("s", 10), "half of four requests");
-  EXPECT_TRUE(!budget.TryTake("s", 10), "no more");
-  EXPECT_TRUE(!budget.TryTake("s", 900), "within the window");
-  EXPECT_TRUE(budget.TryTake("s", 1500), "the window has passed");
+  EXPECT_TRUE(budget.TryConsume("s", 10) && budget.TryConsume("s", 10), "half of four requests");
+  EXPECT_TRUE(!budget.TryConsume("s", 10), "no more");
+  EXPECT_TRUE(!budget.TryConsume("s", 900), "within the window");
+  EXPECT_TRUE(budget.TryConsume("s", 1500), "the window has passed");
 }
 
-TEST(Budgets, TakeOtherBoundsAtOnce) {
+TEST(RetryBudget, AppliesNewOptionsImmediately) {
   RetryBudget budget({0, 1, 10000});
-  EXPECT_TRUE(budget.TryTake("s", 100), "one attempt");
-  EXPECT_TRUE(!budget.TryTake("s", 100), "and no more");
+  EXPECT_TRUE(budget.TryConsume("s", 100), "one attempt");
+  EXPECT_TRUE(!budget.TryConsume("s", 100), "and no more");
   budget.SetOptions({0, 2, 10000});
-  EXPECT_TRUE(budget.TryTake("s", 100), "two, of which one is spent");
-  EXPECT_TRUE(!budget.TryTake("s", 100), "");
+  EXPECT_TRUE(budget.TryConsume("s", 100), "two, of which one is spent");
+  EXPECT_TRUE(!budget.TryConsume("s", 100), "");
 }
 
-TEST(Budgets, DivideTheFixedAllowanceAmongTheEntriesThereAre) {
+TEST(RetryBudget, DividesFixedAllowanceAmongEntries) {
   RetryBudget budget({0, 40, 1000});
   budget.SetEntries(20);
-  EXPECT_TRUE(budget.TryTake("s", 0) && budget.TryTake("s", 0), "a twentieth of forty");
-  EXPECT_TRUE(!budget.TryTake("s", 0), "the rest is for others");
+  EXPECT_TRUE(budget.TryConsume("s", 0) && budget.TryConsume("s", 0), "a twentieth of forty");
+  EXPECT_TRUE(!budget.TryConsume("s", 0), "the rest is for others");
 }
 
-TEST_GROUP(Choices){};
+TEST_GROUP(UpstreamSelection){};
 
-TEST(Choices, TakeTheLeastLoadedAndNeverOneThatLeaves) {
-  Table t;
-  auto leaving = Record("u1");
+TEST(UpstreamSelection, PicksLeastLoadedAndNeverLeavingUpstream) {
+  TableFixture t;
+  auto leaving = MakeRecord("u1");
   leaving.is_leaving = true;
   for (auto& it : {&leaving}) it->service = "plain";
-  auto busy = Record("u2");
-  auto idle = Record("u3");
+  auto busy = MakeRecord("u2");
+  auto idle = MakeRecord("u3");
   busy.service = idle.service = "plain";
   t.table.ApplyListing({leaving, busy, idle}, t.now);
   for (int n = 0; n < 5; ++n) t.table.OnSent("u2", std::nullopt, t.now);
@@ -92,14 +92,14 @@
   EXPECT_TEXT("all_tried", t.Choose("plain", std::nullopt, {"u2", "u3"}), "u1 is leaving");
 }
 
-TEST(Choices, SpreadRequestsOverEnginesUntilTheNextView) {
+TEST(UpstreamSelection, SpreadsRequestsOverEnginesBetweenViews) {
   // one stream in ten paused for over 300 ms, as all 28
   // entries sent to the engine that had the least in the last view.
-  Table t;
-  t.table.ApplyListing({Record("u1"), Record("u2")}, t.now);
-  EngineView busy = View("u1", {{"a", {}}});
+  TableFixture t;
+  t.table.ApplyListing({MakeRecord("u1"), MakeRecord("u2")}, t.now);
+  EngineView busy = MakeView("u1", {{"a", {}}});
   busy.running = 16;
-  EngineView less = View("u2", {{"a", {}}});
+  EngineView less = MakeView("u2", {{"a", {}}});
   less.running = 10;
   t.table.ApplyView(busy, t.now);
   t.table.ApplyView(less, t.now);
@@ -110,7 +110,7 @@
     request.model = ModelRef{"a", ""};
     const std::string id = "r" + std::to_string(n);
     request.request_id = id;
-    const Pick pick = t.table.Choose(request, t.now);
+    const PickResult pick = t.table.Choose(request, t.now);
     at_busy += std::get<SendTo>(pick).instance == "u1" ? 1 : 0;
   }
   EXPECT_TRUE(at_busy >= 40 && at_busy < 100,
@@ -118,9 +118,9 @@
                   " of 200");
 }
 
-TEST(Choices, RememberThatAnUpstreamLeavesWhateverIsListedLater) {
-  Table t;
-  auto record = Record("u1");
+TEST(UpstreamSelection, RemembersLeavingAcrossLaterListings) {
+  TableFixture t;
+  auto record = MakeRecord("u1");
   record.service = "plain";
   record.is_leaving = true;
   t.table.ApplyListing({record}, t.now);
@@ -132,117 +132,118 @@
 namespace {
 
 // A table that is told listings as an entry reads them.
-struct FollowedTable : Table {
+struct PolledTable : TableFixture {
   // A reading that took 10 ms.
-  void Read(const std::vector<std::string>& instances, bool was_unreadable = false) {
+  void Poll(const std::vector<std::string>& instances, bool was_unreadable = false) {
     std::vector<UpstreamRecord> records;
     for (const auto& it : instances) {
-      records.push_back(Record(it));
+      records.push_back(MakeRecord(it));
       records.back().service = "plain";
     }
     const TimeMs as_of = now;
     now += 10;
-    table.ApplyListing(lapsed.Complete(records, was_unreadable, as_of, now), now);
+    table.ApplyListing(expired_records.AddExpired(records, was_unreadable, as_of, now), now);
   }
-  void ReadAfterOutage(const std::vector<std::string>& instances) {
+  void PollAfterOutage(const std::vector<std::string>& instances) {
     now += 3000;
-    Read(instances, true);
+    Poll(instances, true);
   }
 
-  LapsedRecords lapsed;
+  ExpiredRecordKeeper expired_records;
 };
 
 }  // namespace
 
-TEST_GROUP(ListingsAfterAnOutage){};
+TEST_GROUP(ExpiredRecords){};
 
-TEST(ListingsAfterAnOutage, KeepWhatIsMissingForTwoSecondsAndDropItAtOnceElse) {
-  FollowedTable t;
-  t.Read({"u1"});
-  EXPECT_TRUE(!t.lapsed.RestoredAt(), "nothing is missing");
-  t.ReadAfterOutage({});
+TEST(ExpiredRecords, KeepsMissingRecordsForTwoSecondsOnlyAfterOutage) {
+  PolledTable t;
+  t.Poll({"u1"});
+  EXPECT_TRUE(!t.expired_records.RecheckAt(), "nothing is missing");
+  t.PollAfterOutage({});
   EXPECT_TEXT("send u1", t.Choose("plain"), "it may only have lapsed");
-  EXPECT_NUMBER(t.now + 2000, t.lapsed.RestoredAt().value_or(0), "it is looked for again then");
+  EXPECT_NUMBER(t.now + 2000, t.expired_records.RecheckAt().value_or(0),
+                "it is looked for again then");
   t.now += 1000;
-  t.Read({});
+  t.Poll({});
   EXPECT_TEXT("send u1", t.Choose("plain"), "it may yet come back");
   t.now += 1000;
-  t.Read({});
+  t.Poll({});
   EXPECT_TEXT("no_upstream", t.Choose("plain"), "it would be back by now");
-  t.Read({"u1"});
-  t.Read({});
+  t.Poll({"u1"});
+  t.Poll({});
   EXPECT_TEXT("no_upstream", t.Choose("plain"), "no outage explains that it is missing");
 }
 
-TEST(ListingsAfterAnOutage, DropWhatWasThereOnceTheStoreWasBack) {
-  FollowedTable t;
-  t.Read({"u1", "u2"});
-  t.ReadAfterOutage({"u1"});
+TEST(ExpiredRecords, DropsRecordSeenSinceStoreReturned) {
+  PolledTable t;
+  t.Poll({"u1", "u2"});
+  t.PollAfterOutage({"u1"});
   t.now += 1000;
-  t.Read({});
+  t.Poll({});
   EXPECT_TEXT("send u2", t.Choose("plain"), "it may have lapsed in the outage, u1 has not");
   EXPECT_TEXT("all_tried", t.Choose("plain", std::nullopt, {"u2"}), "u1 has left");
 }
 
-TEST(ListingsAfterAnOutage, DropWhatIsMissingWhenNoRecordCanHaveLapsed) {
-  FollowedTable t;
-  t.Read({"u1"});
+TEST(ExpiredRecords, DropsMissingRecordAfterOutageTooShortToExpireIt) {
+  PolledTable t;
+  t.Poll({"u1"});
   t.now += 2300;
-  t.Read({}, true);
+  t.Poll({}, true);
   EXPECT_TEXT("no_upstream", t.Choose("plain"), "records outlive two writes that do not come");
 }
 
-TEST(ListingsAfterAnOutage, KeepWhatIsMissingThroughTheNextOutage) {
-  FollowedTable t;
-  t.Read({"u1"});
-  t.ReadAfterOutage({});
-  t.ReadAfterOutage({});
+TEST(ExpiredRecords, KeepsMissingRecordThroughSecondOutage) {
+  PolledTable t;
+  t.Poll({"u1"});
+  t.PollAfterOutage({});
+  t.PollAfterOutage({});
   EXPECT_TEXT("send u1", t.Choose("plain"), "it had no time to come back");
   t.now += 2000;
-  t.Read({});
+  t.Poll({});
   EXPECT_TEXT("no_upstream", t.Choose("plain"), "now it had");
 }
 
-TEST(ListingsAfterAnOutage, KeepWhatAnotherEntryTold) {
-  FollowedTable t;
-  auto record = Record("u1");
+TEST(ExpiredRecords, KeepsRecordsReceivedFromPeer) {
+  PolledTable t;
+  auto record = MakeRecord("u1");
   record.service = "plain";
-  t.table.ApplyListing(t.lapsed.Take({record}), t.now);
-  t.ReadAfterOutage({});
+  t.table.ApplyListing(t.expired_records.Seed({record}), t.now);
+  t.PollAfterOutage({});
   EXPECT_TEXT("send u1", t.Choose("plain"), "the store was away as this entry started");
   t.now += 2000;
-  t.Read({});
+  t.Poll({});
   EXPECT_TEXT("no_upstream", t.Choose("plain"), "it would be back by now");
 }
 
-TEST(ListingsAfterAnOutage, SayWhatChanged) {
-  FollowedTable t;
-  const auto news = [&](const std::vector<UpstreamRecord>& read, bool was_unreadable) {
+TEST(ExpiredRecords, ReportsChanges) {
+  PolledTable t;
+  const auto changes = [&](const std::vector<UpstreamRecord>& read, bool was_unreadable) {
     std::string text;
-    const auto listing = t.lapsed.Complete(read, was_unreadable, t.now, t.now);
+    const auto listing = t.expired_records.AddExpired(read, was_unreadable, t.now, t.now);
     for (const auto& it : t.table.ApplyListing(listing, t.now)) {
       constexpr const char* kNames[] = {"listed", "leaving", "missing", "gone"};
-      text += it.instance + " " + kNames[static_cast<int>(it.news)] + ";";
+      text += it.instance + " " + kNames[static_cast<int>(it.kind)] + ";";
     }
     return text;
   };
-  auto leaving = Record("u2");
-  EXPECT_TEXT("u1 listed;u2 listed;", news({Record("u1"), leaving}, false), "");
+  auto leaving = MakeRecord("u2");
+  EXPECT_TEXT("u1 listed;u2 listed;", changes({MakeRecord("u1"), leaving}, false), "");
   leaving.is_leaving = true;
-  EXPECT_TEXT("u2 leaving;", news({Record("u1"), leaving}, false), "");
+  EXPECT_TEXT("u2 leaving;", changes({MakeRecord("u1"), leaving}, false), "");
   t.now += 3000;
-  EXPECT_TEXT("u1 missing;u2 missing;", news({}, true), "");
-  EXPECT_TEXT("u1 listed;", news({Record("u1")}, false), "it is back");
+  EXPECT_TEXT("u1 missing;u2 missing;", changes({}, true), "");
+  EXPECT_TEXT("u1 listed;", changes({MakeRecord("u1")}, false), "it is back");
   t.now += 2000;
-  EXPECT_TEXT("u2 gone;", news({Record("u1")}, false), "it is not");
-  EXPECT_TEXT("", news({Record("u1")}, false), "");
+  EXPECT_TEXT("u2 gone;", changes({MakeRecord("u1")}, false), "it is not");
+  EXPECT_TEXT("", changes({MakeRecord("u1")}, false), "");
 }
 
-TEST(Choices, TakeAnUpstreamAgainWhoseRecordComesBackWhileARequestIsUnderWay) {
+TEST(UpstreamSelection, ReusesUpstreamRelistedDuringRequest) {
   // Found by reading: a record that lapsed under a long stream and came back
   // left its upstream unused for good.
-  Table t;
-  auto record = Record("u1");
+  TableFixture t;
+  auto record = MakeRecord("u1");
   record.service = "plain";
   t.table.ApplyListing({record}, t.now);
   t.table.OnSent("u1", std::nullopt, t.now);
@@ -252,73 +253,73 @@
   EXPECT_TEXT("send u1", t.Choose("plain"), "it is listed as ready again");
 }
 
-TEST(Choices, TakeTheInstanceThatAnswersThoughARecordMadeLaterNamesAnother) {
+TEST(UpstreamSelection, PrefersAnsweringInstanceOverNewerRecord) {
   // The last write of an instance that ended may land after its successor's.
-  Table t;
-  UpstreamRecord present = Record("u1");
+  TableFixture t;
+  UpstreamRecord present = MakeRecord("u1");
   present.generation = 5;
-  UpstreamRecord ended = Record("u2");
+  UpstreamRecord ended = MakeRecord("u2");
   ended.generation = 9;
   t.table.ApplyListing({present, ended}, t.now);
   EXPECT_TEXT("send u2", t.Choose("engine"), "it seems to be the later one");
-  t.table.OnOtherInstance("u2");
+  t.table.OnInstanceReplaced("u2");
   t.table.ApplyListing({present, ended}, t.now);
   EXPECT_TEXT("send u1", t.Choose("engine"), "it answered in u2's place");
   t.table.ApplyListing({present, ended}, t.now);
   EXPECT_TEXT("send u1", t.Choose("engine"), "and not forgotten with the next listing");
 }
 
-TEST(Choices, SetAnUpstreamAsideAfterFailuresButNotTheLastOne) {
-  Table t;
-  auto a = Record("u1");
-  auto b = Record("u2");
+TEST(UpstreamSelection, EjectsFailedUpstreamUnlessItIsTheLast) {
+  TableFixture t;
+  auto a = MakeRecord("u1");
+  auto b = MakeRecord("u2");
   a.service = b.service = "plain";
   t.table.ApplyListing({a, b}, t.now);
   t.table.OnSent("u1", std::nullopt, t.now);
-  t.table.OnEnd("u1", std::nullopt, AttemptEnd::kUnreachable, t.now);
+  t.table.OnAttemptEnd("u1", std::nullopt, AttemptOutcome::kUnreachable, t.now);
   EXPECT_TEXT("send u2", t.Choose("plain"), "nobody listens at u1");
   EXPECT_TEXT("all_tried", t.Choose("plain", std::nullopt, {"u2"}), "u1 is set aside");
   t.table.ApplyListing({a}, t.now);
   EXPECT_TEXT("send u1", t.Choose("plain"), "trying it is better than a refusal");
 }
 
-TEST(Choices, AvoidAnUpstreamThatAnswersNothingWhileItsAgentIsSilentToo) {
-  Table t;
-  t.table.ApplyListing({Record("u1"), Record("u2")}, t.now);
-  for (const char* it : {"u1", "u2"}) t.table.ApplyView(View(it, {{"a", {}}}), t.now);
+TEST(UpstreamSelection, AvoidsUnresponsiveUpstreamWithSilentAgent) {
+  TableFixture t;
+  t.table.ApplyListing({MakeRecord("u1"), MakeRecord("u2")}, t.now);
+  for (const char* it : {"u1", "u2"}) t.table.ApplyView(MakeView(it, {{"a", {}}}), t.now);
   const ModelRef model{"a", ""};
   t.table.OnSent("u1", model, t.now);
   for (int n = 0; n < 40; ++n) t.table.OnSent("u2", model, t.now);
-  for (int n = 0; n < 40; ++n) t.table.OnHeard("u2", t.now);
+  for (int n = 0; n < 40; ++n) t.table.OnResponseData("u2", t.now);
   EXPECT_TEXT("send u1", t.Choose("engine", model), "it has the fewest requests");
   t.now += 1100;
   EXPECT_TEXT("send u1", t.Choose("engine", model), "its agent was heard of lately");
   t.now += 1000;
-  t.table.ApplyView(View("u2", {{"a", {}}}), t.now);
+  t.table.ApplyView(MakeView("u2", {{"a", {}}}), t.now);
   EXPECT_TEXT("send u2", t.Choose("engine", model), "two seconds without a word of either");
-  t.table.OnEnd("u1", model, AttemptEnd::kAbandoned, t.now);
+  t.table.OnAttemptEnd("u1", model, AttemptOutcome::kCallerLeft, t.now);
   EXPECT_TEXT("send u2", t.Choose("engine", model), "the caller's leaving does not clear it");
   t.now += 1100;
-  t.table.ApplyView(View("u1", {{"a", {}}}), t.now);
+  t.table.ApplyView(MakeView("u1", {{"a", {}}}), t.now);
   EXPECT_TEXT("send u1", t.Choose("engine", model, {"u2"}), "its agent is back");
 }
 
 TEST_GROUP(ColdModels){};
 
-TEST(ColdModels, AreSentToWhereTheAgentSaysTheyAreLoaded) {
-  Table t;
-  t.table.ApplyListing({Record("u1"), Record("u2")}, t.now);
-  t.table.ApplyView(View("u2", {{"a", {"x"}}}), t.now);
+TEST(ColdModels, RoutesToEngineWithModelLoaded) {
+  TableFixture t;
+  t.table.ApplyListing({MakeRecord("u1"), MakeRecord("u2")}, t.now);
+  t.table.ApplyView(MakeView("u2", {{"a", {"x"}}}), t.now);
   EXPECT_TEXT("send u2", t.Choose("engine", ModelRef{"a", ""}), "");
   EXPECT_TEXT("send u2", t.Choose("engine", ModelRef{"a", "x"}), "with the adapter");
 }
 
-TEST(ColdModels, ThatComeUpAtOneEngineDoNotGetAllThatWaitedAtOnce) {
+TEST(ColdModels, LimitsRequestsSentToNewlyLoadedModel) {
   // after all engines had restarted, hundreds
   // of requests from 28 entries went to the first that held the model.
-  Table t;
-  t.table.ApplyListing({Record("u1")}, t.now);
-  EngineView view = View("u1", {{"a", {}}});
+  TableFixture t;
+  t.table.ApplyListing({MakeRecord("u1")}, t.now);
+  EngineView view = MakeView("u1", {{"a", {}}});
   view.entries = 10;
   t.table.ApplyView(view, t.now);
   int sent = 0;
@@ -332,55 +333,55 @@
   EXPECT_TEXT("send u1", t.Choose("engine", ModelRef{"a", ""}), "which shows free places");
 }
 
-TEST(ColdModels, AreFoundByWhatTheLastViewSaysAndByTheRecordWithoutOne) {
-  Table it;
-  UpstreamRecord first = Record("u1");
+TEST(ColdModels, PrefersViewOverRecord) {
+  TableFixture it;
+  UpstreamRecord first = MakeRecord("u1");
   first.loaded = {{"a", {}}};
-  it.table.ApplyListing({first, Record("u2")}, it.now);
+  it.table.ApplyListing({first, MakeRecord("u2")}, it.now);
   EXPECT_TEXT("send u1", it.Choose("engine", ModelRef{"a", {}}), "by its record");
-  it.table.ApplyView(View("u1", {{"b", {}}}), it.now);
-  it.table.ApplyView(View("u2", {{"a", {}}}), it.now);
+  it.table.ApplyView(MakeView("u1", {{"b", {}}}), it.now);
+  it.table.ApplyView(MakeView("u2", {{"a", {}}}), it.now);
   EXPECT_TEXT("send u2", it.Choose("engine", ModelRef{"a", {}}), "a view goes before a record");
   EXPECT_TEXT("send u1", it.Choose("engine", ModelRef{"b", {}}), "");
   it.table.ForgetView("u1");
   EXPECT_TEXT("send u1", it.Choose("engine", ModelRef{"a", {}}, {"u2"}), "its record again");
-  it.table.ApplyListing({Record("u2")}, it.now);
+  it.table.ApplyListing({MakeRecord("u2")}, it.now);
   EXPECT_TEXT("all_tried", it.Choose("engine", ModelRef{"a", {}}, {"u2"}), "u1 has gone");
   EXPECT_TEXT("send u2", it.Choose("engine", ModelRef{"a", {}}), "");
 }
 
-TEST(ColdModels, AreAskedForWhereTheWeightsAreClosest) {
-  Table t;
-  t.table.ApplyListing({Record("u1"), Record("u2")}, t.now);
-  t.table.ApplyView(View("u1"), t.now);
-  t.table.ApplyView(View("u2", {}, {"a"}), t.now);
+TEST(ColdModels, LoadsWhereWeightsAreOnDisk) {
+  TableFixture t;
+  t.table.ApplyListing({MakeRecord("u1"), MakeRecord("u2")}, t.now);
+  t.table.ApplyView(MakeView("u1"), t.now);
+  t.table.ApplyView(MakeView("u2", {}, {"a"}), t.now);
   EXPECT_TEXT("wait u2", t.Choose("engine", ModelRef{"a", ""}), "on its disk");
   EXPECT_TRUE(t.estimate_ms < 2000, "from disk, not from the store");
 }
 
-TEST(ColdModels, AreAskedForElsewhereWhenTheClosestIsBusyForLong) {
-  Table t;
-  t.table.ApplyListing({Record("u1"), Record("u2")}, t.now);
-  t.table.ApplyView(View("u1"), t.now);
-  EngineView busy = View("u2", {}, {"a"});
+TEST(ColdModels, LoadsElsewhereWhenNearestEngineIsBusy) {
+  TableFixture t;
+  t.table.ApplyListing({MakeRecord("u1"), MakeRecord("u2")}, t.now);
+  t.table.ApplyView(MakeView("u1"), t.now);
+  EngineView busy = MakeView("u2", {}, {"a"});
   busy.loading = "b";
-  busy.remaining_ms = 20000;
+  busy.load_remaining_ms = 20000;
   t.table.ApplyView(busy, t.now);
   EXPECT_TEXT("wait u1", t.Choose("engine", ModelRef{"a", ""}), "six seconds beat twenty");
 }
 
-TEST(ColdModels, AreAskedForElsewhereWhenTheAgentAskedDoesNotBringThemUp) {
+TEST(ColdModels, LoadsElsewhereWhenAgentIsOverdue) {
   // an agent ordered from an engine that had been replaced
   // for two seconds, and a busy model's requests went on asking it for eight.
-  Table t;
-  t.table.ApplyListing({Record("u1"), Record("u2")}, t.now);
-  t.table.ApplyView(View("u1", {}, {"a"}), t.now);
-  t.table.ApplyView(View("u2"), t.now);
+  TableFixture t;
+  t.table.ApplyListing({MakeRecord("u1"), MakeRecord("u2")}, t.now);
+  t.table.ApplyView(MakeView("u1", {}, {"a"}), t.now);
+  t.table.ApplyView(MakeView("u2"), t.now);
   EXPECT_TEXT("wait u1", t.Choose("engine", ModelRef{"a", ""}), "on its disk");
   for (int n = 0; n < 12; ++n) {
     t.now += 200;
-    t.table.ApplyView(View("u1", {}, {"a"}), t.now);
-    t.table.ApplyView(View("u2"), t.now);
+    t.table.ApplyView(MakeView("u1", {}, {"a"}), t.now);
+    t.table.ApplyView(MakeView("u2"), t.now);
     t.Choose("engine", ModelRef{"a", ""});
   }
   EXPECT_TEXT("wait u2", t.Choose("engine", ModelRef{"a", ""}), "2.4 s in place of 1 s");
@@ -388,30 +389,31 @@
   EXPECT_TEXT("wait u2", t.Choose("engine", ModelRef{"a", ""}), "and not back at once");
 }
 
-TEST(ColdModels, CountAnAdaptersWaitForTheOrderUnderWay) {
+TEST(ColdModels, AdapterLoadWaitsForCurrentOrder) {
   // Engines load no adapter while an order on a model is under way.
-  Table t;
-  t.table.ApplyListing({Record("u1")}, t.now);
-  EngineView view = View("u1", {{"a", {}}});
+  TableFixture t;
+  t.table.ApplyListing({MakeRecord("u1")}, t.now);
+  EngineView view = MakeView("u1", {{"a", {}}});
   view.loading = "b";
-  view.remaining_ms = 5000;
+  view.load_remaining_ms = 5000;
   t.table.ApplyView(view, t.now);
   EXPECT_TEXT("wait u1", t.Choose("engine", ModelRef{"a", "x"}), "");
   EXPECT_TRUE(t.estimate_ms >= 5000, "got " + std::to_string(t.estimate_ms));
 }
 
-TEST(ColdModels, GetAnotherReplicaWhenManyAskForThem) {
-  Table t;
-  t.table.ApplyListing({Record("u1"), Record("u2"), Record("u3"), Record("u4")}, t.now);
-  EngineView holder = View("u1", {{"a", {}}});
+TEST(ColdModels, AddsReplicaForBusyModel) {
+  TableFixture t;
+  t.table.ApplyListing({MakeRecord("u1"), MakeRecord("u2"), MakeRecord("u3"), MakeRecord("u4")},
+                       t.now);
+  EngineView holder = MakeView("u1", {{"a", {}}});
   holder.entries = 28;
-  for (const char* it : {"u2", "u3", "u4"}) t.table.ApplyView(View(it), t.now);
+  for (const char* it : {"u2", "u3", "u4"}) t.table.ApplyView(MakeView(it), t.now);
   t.table.OnArrival(ModelRef{"a", ""}, 1, 300, t.now);
   const auto wanted = [&t, &holder](double per_s) {
-    holder.per_s["a"] = per_s;
+    holder.requests_per_s["a"] = per_s;
     t.table.ApplyView(holder, t.now);
     int n = 0;
-    for (const auto& [instance, demand] : t.table.Demands({}, t.now)) {
+    for (const auto& [instance, demand] : t.table.BuildDemands({}, t.now)) {
       for (const auto& it : demand.wanted) n += it.ref.model == "a" ? 1 : 0;
     }
     return n;
@@ -422,35 +424,36 @@
   EXPECT_NUMBER(0, wanted(0.2), "the agent says that all entries together see one in five seconds");
 }
 
-TEST(ColdModels, AreKnownToBeBusySoonAfterAnEntryHasStarted) {
+TEST(ColdModels, EstimatesRateSoonAfterStart) {
   // after a restart of all entries busy models got their
   // replicas seconds late, as their rates grew from nothing.
-  Table t;
-  t.table.ApplyListing({Record("u1")}, t.now);
-  t.table.ApplyView(View("u1", {{"a", {}}}), t.now);
+  TableFixture t;
+  t.table.ApplyListing({MakeRecord("u1")}, t.now);
+  t.table.ApplyView(MakeView("u1", {{"a", {}}}), t.now);
   for (int n = 0; n < 15; ++n) {
     t.table.OnArrival(ModelRef{"a", ""}, 1, 300, t.now);
     t.now += 100;
   }
-  const auto demands = t.table.Demands({}, t.now);
-  const double per_s = demands.at("u1").use.at(0).per_s;
+  const auto demands = t.table.BuildDemands({}, t.now);
+  const double per_s = demands.at("u1").use.at(0).requests_per_s;
   EXPECT_TRUE(per_s > 8 && per_s < 12, "ten a second for 1.5 s, got " + std::to_string(per_s));
 }
 
-TEST(ColdModels, GetAnotherReplicaBeforeMoreThanFiveInAHundredAreLate) {
-  Table t;
-  t.table.ApplyListing({Record("u1"), Record("u2"), Record("u3"), Record("u4")}, t.now);
+TEST(ColdModels, AddsReplicaWhenMoreThanFivePercentAreLate) {
+  TableFixture t;
+  t.table.ApplyListing({MakeRecord("u1"), MakeRecord("u2"), MakeRecord("u3"), MakeRecord("u4")},
+                       t.now);
   for (const char* it : {"u1", "u2"}) {
-    EngineView view = View(it, {{"a", {}}});
-    view.per_s["a"] = 20;
+    EngineView view = MakeView(it, {{"a", {}}});
+    view.requests_per_s["a"] = 20;
     t.table.ApplyView(view, t.now);
   }
-  for (const char* it : {"u3", "u4"}) t.table.ApplyView(View(it), t.now);
+  for (const char* it : {"u3", "u4"}) t.table.ApplyView(MakeView(it), t.now);
   t.table.OnArrival(ModelRef{"a", ""}, 1, 300, t.now);
   const auto callers_late = [&t](DurationMs wait_ms) {
     for (int n = 0; n < 100; ++n) t.table.OnFirstEvent(ModelRef{"a", ""}, wait_ms);
-    for (const auto& [instance, demand] : t.table.Demands({}, t.now)) {
-      for (const auto& it : demand.wanted) return it.callers_late;
+    for (const auto& [instance, demand] : t.table.BuildDemands({}, t.now)) {
+      for (const auto& it : demand.wanted) return it.late_callers;
     }
     return -1.0;
   };
@@ -460,22 +463,22 @@
               "20 a second, 150 ms, exp(-2) of them late: 0.406, got " + std::to_string(late));
 }
 
-TEST(ColdModels, GetAReplicaFromDiskWhileOneIsUnderWayFromTheStore) {
+TEST(ColdModels, AddsReplicaFromDiskDuringStoreLoad) {
   // A load from the store takes 6 s; for so long one engine had all requests.
-  Table t;
-  t.table.ApplyListing({Record("u1"), Record("u2"), Record("u3")}, t.now);
-  EngineView holder = View("u1", {{"a", {}}});
-  holder.per_s["a"] = 20;
+  TableFixture t;
+  t.table.ApplyListing({MakeRecord("u1"), MakeRecord("u2"), MakeRecord("u3")}, t.now);
+  EngineView holder = MakeView("u1", {{"a", {}}});
+  holder.requests_per_s["a"] = 20;
   t.table.ApplyView(holder, t.now);
-  t.table.ApplyView(View("u3", {}, {"a"}), t.now);
+  t.table.ApplyView(MakeView("u3", {}, {"a"}), t.now);
   t.table.OnArrival(ModelRef{"a", ""}, 1, 300, t.now);
-  const auto wanted = [&t](bool is_from_store, DurationMs remaining_ms) {
-    EngineView coming = View("u2");
+  const auto wanted = [&t](bool is_from_store, DurationMs load_remaining_ms) {
+    EngineView coming = MakeView("u2");
     coming.loading = "a";
-    coming.is_from_store = is_from_store;
-    coming.remaining_ms = remaining_ms;
+    coming.is_loading_from_store = is_from_store;
+    coming.load_remaining_ms = load_remaining_ms;
     t.table.ApplyView(coming, t.now);
-    const auto demands = t.table.Demands({}, t.now);
+    const auto demands = t.table.BuildDemands({}, t.now);
     return demands.at("u3").wanted.size();
   };
   EXPECT_NUMBER(0, wanted(false, 600), "the second one is up soon");
@@ -483,19 +486,19 @@
   EXPECT_NUMBER(0, wanted(true, 900), "unless most of the time has passed");
 }
 
-TEST(ColdModels, AreAskedForWhereTheRoomCostsOthersLeast) {
-  Table t;
-  t.table.ApplyListing({Record("u1"), Record("u2")}, t.now);
+TEST(ColdModels, LoadsWhereEvictionCostsLeast) {
+  TableFixture t;
+  t.table.ApplyListing({MakeRecord("u1"), MakeRecord("u2")}, t.now);
   EngineSpec spec = MakeSpec();
   spec.accelerator_mb = 160;  // Of which two models take 144.
   t.table.ApplyServices({{"engine", 100, spec}});
   // Both have the weights on disk; what u2 would close is busy, and u1 has an
   // order under way.
-  const auto show = [&t](const char* instance, double cost, DurationMs remaining_ms) {
-    EngineView view = View(instance, {{"b", {}}, {"c", {}}}, {"a"});
-    view.closing_ms = {{"b", cost}, {"c", cost}};
-    if (remaining_ms > 0) view.loading = "unloading";
-    view.remaining_ms = remaining_ms;
+  const auto show = [&t](const char* instance, double cost, DurationMs load_remaining_ms) {
+    EngineView view = MakeView(instance, {{"b", {}}, {"c", {}}}, {"a"});
+    view.eviction_cost_ms = {{"b", cost}, {"c", cost}};
+    if (load_remaining_ms > 0) view.loading = "unloading";
+    view.load_remaining_ms = load_remaining_ms;
     t.table.ApplyView(view, t.now);
   };
   show("u1", 100, 900);
@@ -504,48 +507,49 @@
               "0.9 s later, for 3.9 s less of others");
 }
 
-TEST(ColdModels, AreBroughtFromTheStoreToTheEngineThatFewestOthersWaitFor) {
+TEST(ColdModels, LoadsFromStoreOnLeastContendedEngine) {
   // A load from the store keeps its engine from all other orders for 6 s. Where
   // three engines of six were lost, a third of the others' time went that way,
   // while fresh engines with empty disks had nothing to do.
-  Table t;
-  t.table.ApplyListing({Record("u1"), Record("u2")}, t.now);
-  EngineView busy = View("u1");
-  busy.wants_per_s = 1;
+  TableFixture t;
+  t.table.ApplyListing({MakeRecord("u1"), MakeRecord("u2")}, t.now);
+  EngineView busy = MakeView("u1");
+  busy.model_waits_per_s = 1;
   t.table.ApplyView(busy, t.now);
-  EngineView fresh = View("u2");
+  EngineView fresh = MakeView("u2");
   fresh.loading = "b";  // Half a second later there.
-  fresh.remaining_ms = 500;
+  fresh.load_remaining_ms = 500;
   t.table.ApplyView(fresh, t.now);
   EXPECT_TEXT("wait u2", t.Choose("engine", ModelRef{"a", ""}),
               "at u1 six models would begin to wait, 3 s each");
-  EngineView near = View("u1", {}, {"a"});
-  near.wants_per_s = 1;
+  EngineView near = MakeView("u1", {}, {"a"});
+  near.model_waits_per_s = 1;
   t.table.ApplyView(near, t.now);
   EXPECT_TEXT("wait u1", t.Choose("engine", ModelRef{"a", ""}), "from its disk in 0.8 s");
 }
 
-TEST(ColdModels, AskForAReplicaAtOneEngineUntilItIsUpThere) {
+TEST(ColdModels, KeepsReplicaTargetUntilLoaded) {
   // An engine that makes room for it looks busier than the others meanwhile. Two
   // of a busy model's replicas were closed for a third that was never loaded.
-  Table t;
-  t.table.ApplyListing({Record("u1"), Record("u2"), Record("u3"), Record("u4")}, t.now);
-  EngineView holder = View("u1", {{"a", {}}});
-  holder.per_s["a"] = 20;
+  TableFixture t;
+  t.table.ApplyListing({MakeRecord("u1"), MakeRecord("u2"), MakeRecord("u3"), MakeRecord("u4")},
+                       t.now);
+  EngineView holder = MakeView("u1", {{"a", {}}});
+  holder.requests_per_s["a"] = 20;
   t.table.ApplyView(holder, t.now);
-  for (const char* it : {"u2", "u3", "u4"}) t.table.ApplyView(View(it, {}, {"a"}), t.now);
+  for (const char* it : {"u2", "u3", "u4"}) t.table.ApplyView(MakeView(it, {}, {"a"}), t.now);
   t.table.OnArrival(ModelRef{"a", ""}, 1, 300, t.now);
   const auto place = [&t] {
     std::string places;
-    for (const auto& [instance, demand] : t.table.Demands({}, t.now)) {
+    for (const auto& [instance, demand] : t.table.BuildDemands({}, t.now)) {
       for (const auto& it : demand.wanted) places += it.ref.model == "a" ? instance : "";
     }
     return places;
   };
   const std::string first = place();
-  EngineView changing = View(first, {}, {"a"});
+  EngineView changing = MakeView(first, {}, {"a"});
   changing.loading = "unloading";
-  changing.remaining_ms = 400;
+  changing.load_remaining_ms = 400;
   t.now += 500;
   t.table.ApplyView(changing, t.now);
   EXPECT_TEXT(first, place(), "it makes room");
@@ -553,31 +557,31 @@
   t.table.ApplyView(changing, t.now);
   for (const char* it : {"u1", "u2", "u3", "u4"}) {
     if (it != first)
-      t.table.ApplyView(it == std::string("u1") ? holder : View(it, {}, {"a"}), t.now);
+      t.table.ApplyView(it == std::string("u1") ? holder : MakeView(it, {}, {"a"}), t.now);
   }
   t.now += 1100;
   t.table.ApplyView(changing, t.now);
   EXPECT_TRUE(place() != first, "after 2.6 s another is asked, got " + place());
 }
 
-TEST(ColdModels, GetAReplicaBeforeTheirEnginesAreFull) {
+TEST(ColdModels, AddsReplicaBeforeEnginesAreFull) {
   // A busy model's engines had 55 requests a second of room, and the 56th made all wait:
   // a further replica from the weight store came half a minute later.
-  Table it;
-  it.table.ApplyListing({Record("u1"), Record("u2"), Record("u3")}, it.now);
+  TableFixture it;
+  it.table.ApplyListing({MakeRecord("u1"), MakeRecord("u2"), MakeRecord("u3")}, it.now);
   const auto asks_with = [&it](int running) {
     it.now += 5000;
     for (const char* instance : {"u1", "u2", "u3"}) {
-      EngineView view = View(instance, {}, {"a"});
+      EngineView view = MakeView(instance, {}, {"a"});
       if (std::string(instance) != "u3") {
         view.loaded = {{"a", {}}};
-        view.per_s = {{"a", 20}};
+        view.requests_per_s = {{"a", 20}};
         view.running = running;
       }
       it.table.ApplyView(view, it.now);
     }
     it.table.OnArrival(ModelRef{"a", {}}, 1, 300, it.now);
-    return !it.table.Demands({}, it.now).at("u3").wanted.empty();
+    return !it.table.BuildDemands({}, it.now).at("u3").wanted.empty();
   };
   EXPECT_TRUE(!asks_with(40), "five in eight of 64 places are taken, and nobody is late");
   EXPECT_TRUE(asks_with(52), "four in five are");
@@ -588,99 +592,99 @@
 namespace {
 
 // Two engines hold a busy model; a third is fresh.
-struct FreshEngine : Table {
-  FreshEngine() : Table(false, true) { List({"u1", "u2", "u3"}); }
+struct FreshEngine : TableFixture {
+  FreshEngine() : TableFixture(false, true) { List({"u1", "u2", "u3"}); }
 
   void List(const std::vector<std::string>& instances) {
     std::vector<UpstreamRecord> listing;
-    for (const auto& it : instances) listing.push_back(Record(it));
+    for (const auto& it : instances) listing.push_back(MakeRecord(it));
     table.ApplyListing(listing, now);
     for (const auto& it : instances) {
-      EngineView view = View(it, {}, {});
-      if (it != "u3") view = View(it, {{"a", {}}}, {"a"});
-      if (it != "u3") view.per_s = {{"a", 20}};
+      EngineView view = MakeView(it, {}, {});
+      if (it != "u3") view = MakeView(it, {{"a", {}}}, {"a"});
+      if (it != "u3") view.requests_per_s = {{"a", 20}};
       table.ApplyView(it == "u3" ? fresh : view, now);
     }
   }
   // What the fresh engine is asked to keep from being nowhere, in requests a second.
-  double AtRisk() {
-    const auto wanted = table.Demands({}, now).at("u3").wanted;
-    return wanted.empty() ? 0 : wanted.front().at_risk_per_s;
+  double AtRiskRequestsPerS() {
+    const auto wanted = table.BuildDemands({}, now).at("u3").wanted;
+    return wanted.empty() ? 0 : wanted.front().at_risk_requests_per_s;
   }
 
-  EngineView fresh = View("u3", {}, {});
+  EngineView fresh = MakeView("u3", {}, {});
 };
 
 }  // namespace
 
-TEST(SpareCopies, AreAskedOfAnEngineWithRoomAndNothingToDo) {
+TEST(SpareCopies, RequestedFromIdleEngineWithFreeMemory) {
   FreshEngine t;
-  EXPECT_TRUE(t.AtRisk() > 0, "two engines may both leave");
+  EXPECT_TRUE(t.AtRiskRequestsPerS() > 0, "two engines may both leave");
   t.fresh.loading = "b";
   t.List({"u1", "u2", "u3"});
-  EXPECT_TRUE(t.AtRisk() == 0, "it has something to do");
+  EXPECT_TRUE(t.AtRiskRequestsPerS() == 0, "it has something to do");
   t.fresh.loading.clear();
   // Of 230 MB, two models and twenty adapters leave 66.
   t.fresh.loaded = {{"b", std::vector<std::string>(20, "x")}, {"c", {}}};
   t.List({"u1", "u2", "u3"});
-  EXPECT_TRUE(t.AtRisk() == 0, "it has no room");
+  EXPECT_TRUE(t.AtRiskRequestsPerS() == 0, "it has no room");
 }
 
-TEST(SpareCopies, AreWorthMoreTheMoreEnginesLeave) {
+TEST(SpareCopies, WorthMoreAsMoreEnginesLeave) {
   FreshEngine t;
-  const double before = t.AtRisk();
+  const double before = t.AtRiskRequestsPerS();
   t.List({"u1", "u2", "u3", "u4", "u5"});
   t.List({"u1", "u3"});
-  const double after = t.AtRisk();
+  const double after = t.AtRiskRequestsPerS();
   EXPECT_TRUE(after > 10 * before,
               "expected ten times " + std::to_string(before) + ", got " + std::to_string(after));
   t.now += 11000;
   t.List({"u1", "u3"});
-  EXPECT_TRUE(t.AtRisk() < after, "that is long ago");
+  EXPECT_TRUE(t.AtRiskRequestsPerS() < after, "that is long ago");
 }
 
-TEST(SpareCopies, AreNotMadeOfModelsThatHardlyAnyoneAsksFor) {
+TEST(SpareCopies, NotRequestedForRarelyUsedModels) {
   FreshEngine t;
-  EngineView view = View("u1", {{"a", {}}}, {"a"});
-  view.per_s = {{"a", 0.3}};
+  EngineView view = MakeView("u1", {{"a", {}}}, {"a"});
+  view.requests_per_s = {{"a", 0.3}};
   t.table.ApplyView(view, t.now);
   view.instance = "u2";
   t.table.ApplyView(view, t.now);
-  EXPECT_TRUE(t.AtRisk() == 0, "a load costs more than it is expected to save");
+  EXPECT_TRUE(t.AtRiskRequestsPerS() == 0, "a load costs more than it is expected to save");
 }
 
-TEST(ColdModels, ShareTheWeightStoreAmongTheAgentsThatAsk) {
-  Table t;
+TEST(ColdModels, SharesWeightStoreAmongAgents) {
+  TableFixture t;
   std::vector<UpstreamRecord> listing;
-  for (int n = 0; n < 8; ++n) listing.push_back(Record("u" + std::to_string(n)));
+  for (int n = 0; n < 8; ++n) listing.push_back(MakeRecord("u" + std::to_string(n)));
   t.table.ApplyListing(listing, t.now);
   for (int n = 0; n < 8; ++n) {
-    EngineView view = View("u" + std::to_string(n));
+    EngineView view = MakeView("u" + std::to_string(n));
     // u0 loads from the store; u1 would stage; u2 asks for a busy model; u3 to u7
     // for about as many requests each, u7 for longest.
-    view.is_from_store = n == 0;
+    view.is_loading_from_store = n == 0;
     if (n == 0) view.loading = "c";
     const double weight = n == 1 ? 0 : n == 2 ? 9 : n % 2 == 0 ? 1.1 : 1;
-    if (n > 0) view.store_want = StoreWant{n > 2, weight, n == 1 ? 9000 : 100 * n};
+    if (n > 0) view.store_load_request = StoreLoadRequest{n > 2, weight, n == 1 ? 9000 : 100 * n};
     t.table.ApplyView(view, t.now);
   }
   std::string may;
-  for (const auto& [instance, demand] : t.table.Demands({}, t.now)) {
+  for (const auto& [instance, demand] : t.table.BuildDemands({}, t.now)) {
     if (demand.may_load_from_store) may += instance + " ";
   }
   EXPECT_TEXT("u2 u6 u7 ", may, "three of the store's four places are free");
 }
 
-TEST(ColdModels, FromAStoreThatIsInFullUseAreExpectedLater) {
-  Table t;
+TEST(ColdModels, EstimatesLongerLoadsFromBusyStore) {
+  TableFixture t;
   std::vector<UpstreamRecord> listing;
-  for (int n = 0; n < 8; ++n) listing.push_back(Record("u" + std::to_string(n)));
+  for (int n = 0; n < 8; ++n) listing.push_back(MakeRecord("u" + std::to_string(n)));
   t.table.ApplyListing(listing, t.now);
   for (int n = 0; n < 8; ++n) {
-    EngineView view = View("u" + std::to_string(n));
-    view.is_from_store = n < 4;
+    EngineView view = MakeView("u" + std::to_string(n));
+    view.is_loading_from_store = n < 4;
     if (n < 4) view.loading = "c";
-    if (n >= 4 && n < 7) view.store_want = StoreWant{true, 1, 100};
+    if (n >= 4 && n < 7) view.store_load_request = StoreLoadRequest{true, 1, 100};
     t.table.ApplyView(view, t.now);
   }
   t.Choose("engine", ModelRef{"a", ""});
@@ -688,18 +692,18 @@
               "eighth in turn, expected 12 s or more, got " + std::to_string(t.estimate_ms));
 }
 
-TEST(ColdModels, AreStagedWhereNoneOfThemIsAndNoMoreThanTheStoreBears) {
-  Table t(true);
+TEST(ColdModels, StagesModelsWithinStoreCapacity) {
+  TableFixture t(true);
   std::vector<UpstreamRecord> listing;
-  for (int n = 0; n < 8; ++n) listing.push_back(Record("u" + std::to_string(n)));
+  for (int n = 0; n < 8; ++n) listing.push_back(MakeRecord("u" + std::to_string(n)));
   t.table.ApplyListing(listing, t.now);
-  for (int n = 0; n < 8; ++n) t.table.ApplyView(View("u" + std::to_string(n)), t.now);
-  EngineView busy = View("u0");
+  for (int n = 0; n < 8; ++n) t.table.ApplyView(MakeView("u" + std::to_string(n)), t.now);
+  EngineView busy = MakeView("u0");
   busy.loading = "c";
-  busy.is_from_store = true;
+  busy.is_loading_from_store = true;
   t.table.ApplyView(busy, t.now);
   std::vector<std::string> staged;
-  for (const auto& [instance, demand] : t.table.Demands({}, t.now)) {
+  for (const auto& [instance, demand] : t.table.BuildDemands({}, t.now)) {
     staged.insert(staged.end(), demand.stage.begin(), demand.stage.end());
   }
   EXPECT_NUMBER(2, staged.size(), "a and b; c is being loaded");
--- a/test/store_return_test.cc
+++ b/test/store_return_test.cc
@@ -50,7 +50,7 @@
   std::string Choice() {
     PickRequest request;
     request.service = "plain";
-    const Pick pick = gateway.upstreams().Choose(request, MonotonicMs());
+    const PickResult pick = gateway.upstreams().Choose(request, MonotonicMs());
     const auto* to = std::get_if<SendTo>(&pick);
     return to == nullptr ? "" : to->instance;
   }
@@ -162,7 +162,7 @@
   world.store.Put("servers/i-1", Record("ready", R"(,"born":1000)"));
   world.FollowUpstreams();
   EXPECT_TRUE(world.AwaitChoice("i-1@1000"), "known by its id and its start");
-  world.gateway.upstreams().OnOtherInstance("i-1@1000");
+  world.gateway.upstreams().OnInstanceReplaced("i-1@1000");
   EXPECT_TEXT("", world.Choice(), "that one has ended");
   world.store.Put("servers/i-1", Record("ready", R"(,"born":2000)"));
   EXPECT_TRUE(world.AwaitChoice("i-1@2000"), "nothing of before is held against the new one");
@@ -225,8 +225,8 @@
     route.host = "shop.example";
     route.path_prefix = "/a/";
     route.timeout_ms = 60000;
-    route.first_answer_ms = 60000;
-    route.shares = {{"plain", 1}};
+    route.first_byte_target_ms = 60000;
+    route.traffic_split = {{"plain", 1}};
     configuration.routes = {route};
     configuration.services = {{"plain", 64, std::nullopt}};
     gateway.ApplyConfiguration(configuration);
--- a/test/support/gateway_world.h
+++ b/test/support/gateway_world.h
@@ -12,18 +12,18 @@
 
 namespace junctionrail::testing {
 
-inline Route MakeRoute(const std::string& prefix, CallKind kind, const std::string& service) {
+inline Route MakeRoute(const std::string& prefix, RequestKind kind, const std::string& service) {
   Route route;
   route.name = prefix;
   route.host = "shop.example";
   route.path_prefix = prefix;
   route.kind = kind;
   route.timeout_ms = 5000;
-  route.first_answer_ms = 5000;
-  route.pause_ms = 5000;
+  route.first_byte_target_ms = 5000;
+  route.stream_gap_target_ms = 5000;
   route.max_attempts = 2;
   route.priority = 1;
-  route.shares = {{service, 1}};
+  route.traffic_split = {{service, 1}};
   return route;
 }
 
--- a/test/support/model_fleet.cc
+++ b/test/support/model_fleet.cc
@@ -22,7 +22,7 @@
 EngineSpec SpecOf(const ModelledFleet& fleet) {
   EngineSpec spec;
   spec.accelerator_mb = kModelMb * fleet.places + 1;
-  spec.adapter_places = 8;
+  spec.adapter_slots = 8;
   for (int n = 0; n < fleet.models; ++n) {
     spec.models.push_back(
         {ModelName(n), kModelMb, 1, fleet.store_load_ms, fleet.disk_load_ms, fleet.disk_load_ms});
@@ -156,7 +156,7 @@
   pick.service = kService;
   pick.model = request.model;
   pick.request_id = request.id;
-  const Pick choice = entry.table.Choose(pick, now_);
+  const PickResult choice = entry.table.Choose(pick, now_);
   if (const auto* to = std::get_if<SendTo>(&choice)) return Send(to->instance, std::move(request));
   const auto* wait = std::get_if<WaitFor>(&choice);
   const DurationMs patience =
@@ -183,7 +183,7 @@
     const bool is_concerned =
         is_tick || changed_.count(it.asked) > 0 ||
         std::any_of(changed_.begin(), changed_.end(), [&](const std::string& instance) {
-          return entry.table.HoldsNow(instance, it.model, now_);
+          return entry.table.HasModel(instance, it.model, now_);
         });
     if (is_concerned) {
       Offer(std::move(it), false);
@@ -198,25 +198,25 @@
   if (now_ < entry.demand_at && !entry.has_new_ask) return;
   if (now_ >= entry.demand_at) entry.demand_at = now_ + kDemandMs;
   entry.has_new_ask = false;
-  std::map<ModelRef, UpstreamTable::Waiting> waiting;
+  std::map<ModelRef, UpstreamTable::WaitingRequests> waiting;
   for (const auto& it : entry.parked) {
-    UpstreamTable::Waiting& wait = waiting[it.model];
+    UpstreamTable::WaitingRequests& wait = waiting[it.model];
     const bool is_first = wait.count++ == 0;
     const TimeMs late_at = it.came_at + it.load->target_ms;
     wait.ref = it.model;
     wait.service = kService;
     wait.priority = is_first ? it.load->priority : std::min(wait.priority, it.load->priority);
     wait.since = is_first ? it.parked_at : std::min(wait.since, it.parked_at);
-    wait.asked = it.asked;
+    wait.asked_instance = it.asked;
     if (late_at <= now_) {
       ++wait.late;
     } else {
-      wait.late_at = wait.late_at == 0 ? late_at : std::min(wait.late_at, late_at);
+      wait.next_late_at = wait.next_late_at == 0 ? late_at : std::min(wait.next_late_at, late_at);
     }
   }
-  std::vector<UpstreamTable::Waiting> list;
+  std::vector<UpstreamTable::WaitingRequests> list;
   for (auto& [ref, it] : waiting) list.push_back(std::move(it));
-  for (auto& [instance, demand] : entry.table.Demands(list, now_)) {
+  for (auto& [instance, demand] : entry.table.BuildDemands(list, now_)) {
     const auto engine = by_instance_.find(instance);
     if (engine == by_instance_.end()) continue;
     Engine& it = engines_[static_cast<std::size_t>(engine->second)];
@@ -235,7 +235,7 @@
     return it.name == request.model.model && it.name != engine.unloading;
   });
   if (!is_loaded) {
-    entry.table.OnNotLoaded(instance, request.model, now_);
+    entry.table.OnModelNotLoaded(instance, request.model, now_);
     return Offer(std::move(request), false);
   }
   entry.table.OnSent(instance, request.model, now_);
@@ -251,12 +251,12 @@
     Entry& entry = entries_[static_cast<std::size_t>(request.entry)];
     const DurationMs first = now_ + kFirstEventMs - request.came_at;
     if (first > request.load->patience_ms) {
-      entry.table.OnEnd(engine.instance, request.model, AttemptEnd::kAbandoned, now_);
+      entry.table.OnAttemptEnd(engine.instance, request.model, AttemptOutcome::kCallerLeft, now_);
       End(request, &ModelledOutcome::abandoned);
       continue;
     }
     entry.table.OnFirstEvent(request.model, now_ + kFirstEventMs - request.sent_at);
-    entry.table.OnHeard(engine.instance, now_);
+    entry.table.OnResponseData(engine.instance, now_);
     request.ends_at = now_ + request.load->runs_ms;
     End(request,
         first <= request.load->target_ms ? &ModelledOutcome::in_target : &ModelledOutcome::late);
@@ -270,8 +270,8 @@
       ++it;
       continue;
     }
-    entries_[static_cast<std::size_t>(it->entry)].table.OnEnd(engine.instance, it->model,
-                                                              AttemptEnd::kServed, now_);
+    entries_[static_cast<std::size_t>(it->entry)].table.OnAttemptEnd(engine.instance, it->model,
+                                                                     AttemptOutcome::kServed, now_);
     it = engine.runs.erase(it);
   }
   StartRuns(engine);
@@ -338,8 +338,9 @@
 void ModelFleet::SendViews(Engine& engine) {
   const EngineView view = engine.core.View(now_);
   const bool is_due = now_ - engine.repeated_at >= kRepeatViewMs;
-  const bool has_news = !ChangedParts(engine.sent, view).IsEmpty() ||
-                        engine.sent.store_want.has_value() != view.store_want.has_value();
+  const bool has_news =
+      !ChangedParts(engine.sent, view).IsEmpty() ||
+      engine.sent.store_load_request.has_value() != view.store_load_request.has_value();
   if (!is_due && !has_news) return;
   const auto gone = GoneModels(engine.sent, view);
   if (is_due) engine.repeated_at = now_;
--- a/test/support/routing_world.h
+++ b/test/support/routing_world.h
@@ -14,28 +14,28 @@
 inline EngineSpec MakeSpec() {
   EngineSpec spec;
   spec.accelerator_mb = 230;
-  spec.adapter_places = 8;
+  spec.adapter_slots = 8;
   for (const char* name : {"a", "b", "c"}) spec.models.push_back({name, 72, 1, 6000, 800, 400});
   return spec;
 }
 
-inline UpstreamRecord Record(const std::string& instance, const std::string& hall = "hall-1") {
+inline UpstreamRecord MakeRecord(const std::string& instance, const std::string& hall = "hall-1") {
   return {instance, "engine", {"10.0.0.1", 80}, hall, 64, false, {}};
 }
 
-inline EngineView View(const std::string& instance, std::vector<LoadedModel> loaded = {},
-                       std::vector<std::string> at_hand = {}) {
+inline EngineView MakeView(const std::string& instance, std::vector<LoadedModel> loaded = {},
+                           std::vector<std::string> at_hand = {}) {
   EngineView view;
   view.instance = instance;
   view.loaded = std::move(loaded);
-  view.at_hand = std::move(at_hand);
+  view.cached_models = std::move(at_hand);
   return view;
 }
 
 // An entry's table of upstreams, in model time.
-struct Table {
+struct TableFixture {
   // What is loaded ahead of requests is off but for its own tests.
-  explicit Table(bool stages = false, bool spares = false) : table(Options(stages, spares)) {
+  explicit TableFixture(bool stages = false, bool spares = false) : table(Options(stages, spares)) {
     table.ApplyServices({{"engine", 100, MakeSpec()}, {"plain", 100, std::nullopt}});
   }
   static RoutingOptions Options(bool stages, bool spares) {
@@ -53,22 +53,22 @@
     request.service = service;
     request.model = std::move(model);
     request.tried = std::move(tried);
-    const Pick pick = table.Choose(request, now);
+    const PickResult pick = table.Choose(request, now);
     if (const auto* to = std::get_if<SendTo>(&pick)) return "send " + to->instance;
     if (const auto* wait = std::get_if<WaitFor>(&pick)) {
       estimate_ms = wait->estimate_ms;
       return "wait " + wait->instance;
     }
-    retry_ms = std::get<NoneLeft>(pick).retry_ms;
-    return std::get<NoneLeft>(pick).reason;
+    retry_after_ms = std::get<NoUpstream>(pick).retry_after_ms;
+    return std::get<NoUpstream>(pick).reason;
   }
 
-  UpstreamTerms& Terms(const std::string& instance) { return *table.FindTerms(instance); }
+  UpstreamThrottle& Throttle(const std::string& instance) { return *table.FindThrottle(instance); }
 
   UpstreamTable table;
   TimeMs now = 100000;
-  DurationMs estimate_ms = 0;  // Of the last choice, where it was to wait.
-  DurationMs retry_ms = 0;     // Of the last choice, where there was none.
+  DurationMs estimate_ms = 0;     // Of the last choice, where it was to wait.
+  DurationMs retry_after_ms = 0;  // Of the last choice, where there was none.
 };
 
 }  // namespace junctionrail::testing
--- a/test/upstream_notices_test.cc
+++ b/test/upstream_notices_test.cc
@@ -26,13 +26,13 @@
 using testing::UpstreamPeer;
 using Peer = std::shared_ptr<UpstreamPeer>;
 
-std::string Answer(const std::string& fields = "") {
+std::string OkResponse(const std::string& fields = "") {
   return "HTTP/1.1 200 OK\r\nJunctionrail-Request-Id: r1\r\nJunctionrail-Proof: p\r\n" + fields +
          "Content-Length: 2\r\n\r\nok";
 }
 
 // It has not run the request.
-std::string TurnedAway(const std::string& fields) {
+std::string Rejection(const std::string& fields) {
   return "HTTP/1.1 503 Service Unavailable\r\nJunctionrail-Request-Id: r1\r\n"
          "Junctionrail-Not-Run: 1\r\n" +
          fields + "Content-Length: 0\r\n\r\n";
@@ -40,9 +40,9 @@
 
 // Entries before the same upstreams, and an agent that counts what they may send to an
 // upstream with a limit.
-class Entries {
+class EntryCluster {
  public:
-  explicit Entries(int n) {
+  explicit EntryCluster(int n) {
     for (int k = 0; k < n; ++k) {
       GatewayOptions options;
       options.callers = {"127.0.0.1", 0};
@@ -56,7 +56,7 @@
     }
   }
 
-  ~Entries() {
+  ~EntryCluster() {
     for (const auto& it : gateways) it->Stop(0, [] {});
     RunFor(io, 100);
   }
@@ -69,8 +69,8 @@
     records.push_back(std::move(record));
     RoutingConfiguration configuration;
     configuration.version = 1;
-    configuration.routes = {MakeRoute("/a/", CallKind::kRepeatable, "plain"),
-                            MakeRoute("/m/", CallKind::kOnce, "engine")};
+    configuration.routes = {MakeRoute("/a/", RequestKind::kIdempotent, "plain"),
+                            MakeRoute("/m/", RequestKind::kNonIdempotent, "engine")};
     configuration.services = {{"plain", 64, std::nullopt}, {"engine", 64, testing::MakeSpec()}};
     for (const auto& it : gateways) {
       it->ApplyListing({records, MonotonicMs()});
@@ -78,7 +78,7 @@
     }
   }
 
-  void AddGiver() {
+  void AddQuotaGiver() {
     for (const auto& it : gateways) {
       Gateway* gateway = it.get();
       gateway->OnQuotaMessages([this, gateway](const QuotaTaker::Message& message) {
@@ -92,7 +92,8 @@
   }
 
   // A caller of entry `n` that need not be answered before the next one.
-  void Call(std::size_t n, const std::string& line = "GET /a/", const std::string& fields = "") {
+  void SendRequest(std::size_t n, const std::string& line = "GET /a/",
+                   const std::string& fields = "") {
     callers.push_back(std::make_unique<TestCaller>(io, ports[n % ports.size()]));
     callers.back()->Send(Request(line, fields));
   }
@@ -112,7 +113,7 @@
   std::vector<std::unique_ptr<TestCaller>> callers;
 };
 
-std::size_t MostWithin(const std::vector<TimeMs>& times, DurationMs window_ms) {
+std::size_t MaxInWindow(const std::vector<TimeMs>& times, DurationMs window_ms) {
   std::size_t most = 0;
   for (std::size_t from = 0, to = 0; to < times.size(); ++to) {
     while (times[to] - times[from] >= window_ms) ++from;
@@ -126,54 +127,54 @@
 TEST_GROUP(UpstreamLimits){};
 
 // Guards against entries that send an upstream more than the limit that its answers name.
-TEST(UpstreamLimits, HoldOverAllEntriesThatWereTold) {
+TEST(UpstreamLimits, EnforcedAcrossAllEntries) {
   constexpr double kLimitPerS = 2;
   constexpr DurationMs kWindowMs = 4000;
   constexpr auto kAllowed = static_cast<std::size_t>(1.5 * kLimitPerS * kWindowMs / 1000 + 5);
   constexpr int kEntries = 4;
-  Entries world(kEntries);
-  std::vector<TimeMs> got;
+  EntryCluster world(kEntries);
+  std::vector<TimeMs> received_at;
   world.AddUpstream("u1", [&](const SeenRequest&, const Peer& peer) {
-    got.push_back(MonotonicMs());
-    peer->Write(Answer("Server-Limit: 2\r\n"));
+    received_at.push_back(MonotonicMs());
+    peer->Write(OkResponse("Server-Limit: 2\r\n"));
   });
-  world.AddUpstream("u2", [](const SeenRequest&, const Peer& peer) { peer->Write(Answer()); });
-  world.AddGiver();
+  world.AddUpstream("u2", [](const SeenRequest&, const Peer& peer) { peer->Write(OkResponse()); });
+  world.AddQuotaGiver();
   // Until each entry has been told.
   constexpr int kFirstCalls = 64;
   for (std::size_t n = 0; n < kFirstCalls; ++n) {
-    world.Call(n);
+    world.SendRequest(n);
     RunFor(world.io, 10);
   }
   RunFor(world.io, 500);
-  got.clear();
+  received_at.clear();
   constexpr int kCalls = 240;
   for (std::size_t n = 0; n < kCalls; ++n) {
-    world.Call(n);
+    world.SendRequest(n);
     RunFor(world.io, 25);
   }
   RunFor(world.io, 200);
-  const std::size_t most = MostWithin(got, kWindowMs);
+  const std::size_t most = MaxInWindow(received_at, kWindowMs);
   EXPECT_TRUE(most <= kAllowed, "expected " + std::to_string(kAllowed) +
                                     " requests in four seconds at most, got " +
                                     std::to_string(most));
-  EXPECT_TRUE(!got.empty(), "what it allows is used");
+  EXPECT_TRUE(!received_at.empty(), "what it allows is used");
   EXPECT_NUMBER(kCalls + kFirstCalls, world.CountServed(),
                 "callers served, most by the upstream without a limit");
 }
 
 // Guards against an upstream that is avoided for good once it has named a limit.
-TEST(UpstreamLimits, EndWithAnAnswerThatNamesNone) {
-  Entries world(1);
+TEST(UpstreamLimits, ClearedByAnswerWithoutLimit) {
+  EntryCluster world(1);
   bool is_in_need = true;
   int calls = 0;
   world.AddUpstream("u1", [&](const SeenRequest&, const Peer& peer) {
     ++calls;
-    peer->Write(Answer(is_in_need ? "Server-Limit: 2\r\n" : ""));
+    peer->Write(OkResponse(is_in_need ? "Server-Limit: 2\r\n" : ""));
   });
-  world.AddGiver();
+  world.AddQuotaGiver();
   const auto call = [&] {
-    world.Call(0);
+    world.SendRequest(0);
     TestCaller& caller = *world.callers.back();
     RunUntil(world.io, [&] { return Holds(caller.received(), "\r\n\r\n"); });
     return caller.received();
@@ -191,30 +192,31 @@
 }
 
 // Guards against an upstream that no entry sends to any more, as nobody counts its limit.
-TEST(UpstreamLimits, LeaveEachEntryAShareWhereThereIsNoAgent) {
-  Entries world(1);
-  std::vector<TimeMs> got;
+TEST(UpstreamLimits, LeaveEachEntryAShareWithoutAgent) {
+  EntryCluster world(1);
+  std::vector<TimeMs> received_at;
   world.AddUpstream("u1", [&](const SeenRequest&, const Peer& peer) {
-    got.push_back(MonotonicMs());
-    peer->Write(Answer("Server-Limit: 16\r\n"));
+    received_at.push_back(MonotonicMs());
+    peer->Write(OkResponse("Server-Limit: 16\r\n"));
   });
   for (std::size_t n = 0; n < 160; ++n) {
-    world.Call(n);
+    world.SendRequest(n);
     RunFor(world.io, 25);
   }
-  EXPECT_TRUE(got.size() >= 2, "expected two requests or more, got " + std::to_string(got.size()));
-  const std::size_t most = MostWithin(got, 4000);
+  EXPECT_TRUE(received_at.size() >= 2,
+              "expected two requests or more, got " + std::to_string(received_at.size()));
+  const std::size_t most = MaxInWindow(received_at, 4000);
   EXPECT_TRUE(most <= 16 * 4 / 8 + 2, "expected an eighth at most, got " + std::to_string(most));
 }
 
-TEST_GROUP(UpstreamRests){};
+TEST_GROUP(UpstreamBackoff){};
 
 // Guards against an entry that goes on sending to an upstream which has asked it for a rest.
-TEST(UpstreamRests, AreLeftToAnUpstreamThatAsksForOne) {
+TEST(UpstreamBackoff, HonorsRequestedBackoff) {
   constexpr DurationMs kRestMs = 2000;
   constexpr DurationMs kGraceMs = 500;  // What was under way when it asked.
   constexpr std::size_t kAllowed = 2;
-  Entries world(1);
+  EntryCluster world(1);
   TimeMs asked_at = 0;
   std::size_t unasked = 0;
   world.AddUpstream("u1", [&](const SeenRequest&, const Peer& peer) {
@@ -224,12 +226,12 @@
     } else if (now - asked_at >= kGraceMs) {
       ++unasked;
     }
-    peer->Write(TurnedAway("Retry-After: 2\r\n"));
+    peer->Write(Rejection("Retry-After: 2\r\n"));
   });
-  world.AddUpstream("u2", [](const SeenRequest&, const Peer& peer) { peer->Write(Answer()); });
+  world.AddUpstream("u2", [](const SeenRequest&, const Peer& peer) { peer->Write(OkResponse()); });
   constexpr int kCalls = 160;
   for (std::size_t n = 0; n < kCalls; ++n) {
-    world.Call(n);
+    world.SendRequest(n);
     RunFor(world.io, 25);
   }
   RunFor(world.io, 200);
@@ -239,21 +241,21 @@
 }
 
 // Guards against a request that is sent, or kept waiting, where the only upstream rests.
-TEST(UpstreamRests, AreToldToCallersWhereNoOtherUpstreamIsThere) {
-  Entries world(1);
+TEST(UpstreamBackoff, ReportsRetryAfterWithoutOtherUpstream) {
+  EntryCluster world(1);
   int calls = 0;
   world.AddUpstream("u1", [&](const SeenRequest&, const Peer& peer) {
     ++calls;
-    peer->Write(TurnedAway("Retry-After: 30\r\n"));
+    peer->Write(Rejection("Retry-After: 30\r\n"));
   });
-  world.Call(0);
+  world.SendRequest(0);
   TestCaller& first = *world.callers.back();
   EXPECT_TRUE(RunUntil(world.io, [&] { return Holds(first.received(), "\"ran\":\"no\""); }),
               "it is refused");
   EXPECT_TRUE(
       Holds(first.received(), "Retry-After: 30.0") || Holds(first.received(), "Retry-After: 29.9"),
       first.received());
-  world.Call(0);
+  world.SendRequest(0);
   TestCaller& second = *world.callers.back();
   EXPECT_TRUE(RunUntil(world.io, [&] { return Holds(second.received(), "503 "); }),
               "the next is refused at once");
@@ -261,55 +263,56 @@
 }
 
 // Guards against a request that is given up though the one engine with its model only rests.
-TEST(UpstreamRests, AreWaitedForByARequestWhoseModelIsNowhereElse) {
+TEST(UpstreamBackoff, RequestWaitsWhenModelIsNowhereElse) {
   constexpr DurationMs kRestMs = 500;
-  Entries world(1);
-  std::vector<TimeMs> got;
+  EntryCluster world(1);
+  std::vector<TimeMs> received_at;
   const auto script = [&](const SeenRequest&, const Peer& peer) {
-    got.push_back(MonotonicMs());
-    peer->Write(got.size() == 1 ? TurnedAway("Retry-After: 0.5\r\n") : Answer());
+    received_at.push_back(MonotonicMs());
+    peer->Write(received_at.size() == 1 ? Rejection("Retry-After: 0.5\r\n") : OkResponse());
   };
   world.AddUpstream("u1", script, "engine");
-  world.Call(0, "POST /m/", "Junctionrail-Model: a\r\n");
+  world.SendRequest(0, "POST /m/", "Junctionrail-Model: a\r\n");
   TestCaller& caller = *world.callers.back();
   EXPECT_TRUE(RunUntil(world.io, [&] { return Holds(caller.received(), "200 OK"); }),
               caller.received());
-  EXPECT_NUMBER(2, got.size(), "it was sent again");
-  EXPECT_TRUE(got.at(1) - got.at(0) >= kRestMs, "after the rest");
+  EXPECT_NUMBER(2, received_at.size(), "it was sent again");
+  EXPECT_TRUE(received_at.at(1) - received_at.at(0) >= kRestMs, "after the rest");
 }
 
 // Guards against requests that all go at once to an upstream whose rest is over.
-TEST(UpstreamRests, EndWithOneRequestAheadOfThoseThatWaited) {
+TEST(UpstreamBackoff, ProbesWithOneRequestAfterBackoff) {
   constexpr int kCalls = 12;
-  Entries world(1);
-  std::vector<TimeMs> got;
+  EntryCluster world(1);
+  std::vector<TimeMs> received_at;
   const auto script = [&](const SeenRequest&, const Peer& peer) {
-    got.push_back(MonotonicMs());
-    peer->Write(TurnedAway("Retry-After: 2\r\n"));
+    received_at.push_back(MonotonicMs());
+    peer->Write(Rejection("Retry-After: 2\r\n"));
   };
   world.AddUpstream("u1", script, "engine");
-  for (std::size_t n = 0; n < kCalls; ++n) world.Call(n, "POST /m/", "Junctionrail-Model: a\r\n");
+  for (std::size_t n = 0; n < kCalls; ++n)
+    world.SendRequest(n, "POST /m/", "Junctionrail-Model: a\r\n");
   RunFor(world.io, 400);
-  const std::size_t before = got.size();
-  EXPECT_TRUE(RunUntil(world.io, [&] { return got.size() > before; }), "the rest is over");
+  const std::size_t before = received_at.size();
+  EXPECT_TRUE(RunUntil(world.io, [&] { return received_at.size() > before; }), "the rest is over");
   RunFor(world.io, 100);
-  EXPECT_NUMBER(before + 1, got.size(), "requests, and another rest");
+  EXPECT_NUMBER(before + 1, received_at.size(), "requests, and another rest");
 }
 
-TEST_GROUP(UpstreamsThatLeave){};
+TEST_GROUP(LeavingNotices){};
 
 // Guards against work for an upstream whose answers say that it leaves, while its record does not.
-TEST(UpstreamsThatLeave, GetNothingMoreOnceAnAnswerSaysSo) {
-  Entries world(1);
+TEST(LeavingNotices, StopsSendingAfterLeavingHeader) {
+  EntryCluster world(1);
   int calls = 0;
   world.AddUpstream("u1", [&](const SeenRequest&, const Peer& peer) {
     ++calls;
-    peer->Write(Answer("Server-Leaving: 1\r\n"));
+    peer->Write(OkResponse("Server-Leaving: 1\r\n"));
   });
-  world.AddUpstream("u2", [](const SeenRequest&, const Peer& peer) { peer->Write(Answer()); });
+  world.AddUpstream("u2", [](const SeenRequest&, const Peer& peer) { peer->Write(OkResponse()); });
   constexpr int kCalls = 20;
   for (std::size_t n = 0; n < kCalls; ++n) {
-    world.Call(n);
+    world.SendRequest(n);
     RunFor(world.io, 10);
     world.gateways[0]->ApplyListing({world.records, MonotonicMs()});
   }
@@ -319,16 +322,16 @@
 }
 
 // Guards against a notice of another upstream that has the address now.
-TEST(UpstreamsThatLeave, AreNotThoseInWhosePlaceAnotherOneAnswers) {
-  Entries world(1);
+TEST(LeavingNotices, IgnoresHeaderFromReplacementInstance) {
+  EntryCluster world(1);
   int calls = 0;
   world.AddUpstream("u1", [&](const SeenRequest&, const Peer& peer) {
     const bool is_first = ++calls == 1;
     peer->Write(is_first ? "HTTP/1.1 421 Misdirected Request\r\nJunctionrail-Request-Id: r1\r\n"
                            "Server-Leaving: 1\r\nContent-Length: 0\r\n\r\n"
-                         : Answer());
+                         : OkResponse());
   });
-  world.Call(0);
+  world.SendRequest(0);
   RunFor(world.io, 100);
   EXPECT_TRUE(world.gateways[0]->upstreams().IsListed("u1"), "it has said nothing");
 }
