--- a/src/gateway/crash_detector.h
+++ b/src/gateway/crash_detector.h
@@ -60,7 +60,7 @@
 
   // What of this entry an end of that name may have been under.
   UpstreamCrash CollectSuspects(const std::string& instance, const std::string& name,
-                              TimeMs now) const;
+                                TimeMs now) const;
   // The upstream has not ended.
   std::map<std::string, PendingEnd>::iterator DiscardPendingEnd(
       std::map<std::string, PendingEnd>::iterator it);
--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -68,10 +68,12 @@
                   0);
   }
   if (!ReadFields() || !ReadKey() || !ReadQuotaAmount()) return;
-  const auto over = gateway_.quotas.RefuseIfOverQuota(organisation_, quota_amount_, request_.arrived_at);
+  const auto over =
+      gateway_.quotas.RefuseIfOverQuota(organisation_, quota_amount_, request_.arrived_at);
   if (over) return RefuseOverQuota(*over);
   gateway_.retry_budget.OnRequest(service_, request_.arrived_at);
-  gateway_.upstreams.OnArrival(model_, priority_, route_->first_answer_ms, request_.arrived_at);
+  gateway_.upstreams.OnArrival(model_, priority_, route_->first_byte_target_ms,
+                               request_.arrived_at);
   AttemptNext();
 }
 
@@ -101,8 +103,9 @@
   }
   deadline_at_ = request_.arrived_at + std::min<std::int64_t>(deadline_ms, route_->timeout_ms);
   wait_deadline_at_ = deadline_at_;
-  if (route_->patience_ms > 0) {
-    wait_deadline_at_ = std::min(wait_deadline_at_, request_.arrived_at + route_->patience_ms);
+  if (route_->caller_timeout_ms > 0) {
+    wait_deadline_at_ =
+        std::min(wait_deadline_at_, request_.arrived_at + route_->caller_timeout_ms);
   }
   const ServiceSpec* service = routes_->configuration().FindService(service_);
   const std::string* model = FindField(request_.fields, names.model);
@@ -121,13 +124,13 @@
   if (now >= deadline_at_) return GiveUp(ExecutionSoFar(), "deadline");
   if (quota_ticket_ != 0 || upstream_quota_ticket_ != 0 || !RecheckKey()) return;
   if (CurrentStanding() == QuarantineStatus::kRefused) return RefuseQuarantined();
-  const Pick choice = ChooseUpstream(now);
+  const PickResult choice = ChooseUpstream(now);
   if (const auto* to = std::get_if<SendTo>(&choice)) {
     if (AcquireQuota() && AcquireUpstreamQuota(to->instance)) SendRequest(to->instance);
     return;
   }
   if (const auto* wait = std::get_if<WaitFor>(&choice)) return WaitForModel(*wait);
-  GiveUp(ExecutionSoFar(), std::get<NoneLeft>(choice).reason);
+  GiveUp(ExecutionSoFar(), std::get<NoUpstream>(choice).reason);
 }
 
 // Worked out only while there is something to compare it with, as it reads the whole body.
@@ -179,7 +182,7 @@
   gateway_.RetrySuspects();
 }
 
-Pick Exchange::ChooseUpstream(TimeMs now) {
+PickResult Exchange::ChooseUpstream(TimeMs now) {
   PickRequest request;
   request.service = service_;
   request.model = model_;
@@ -191,13 +194,13 @@
     // One try at a time, as its callers may send it several times at once.
     const auto other_try = is_suspect && model_ ? gateway_.probation.Find(Digest()) : std::nullopt;
     if (other_try) return WaitFor{*other_try, kConcurrentSuspectWaitMs, "alone", 0};
-    auto& besides = is_suspect ? request.taken : request.risky;
+    auto& besides = is_suspect ? request.occupied : request.risky;
     besides =
         is_suspect ? gateway_.probation.OccupiedByOthers(Digest()) : gateway_.probation.Occupied();
   }
-  Pick pick = gateway_.upstreams.Choose(request, now);
-  const auto* none = std::get_if<NoneLeft>(&pick);
-  upstream_opens_in_ms_ = none == nullptr ? 0 : none->retry_ms;
+  PickResult pick = gateway_.upstreams.Choose(request, now);
+  const auto* none = std::get_if<NoUpstream>(&pick);
+  upstream_opens_in_ms_ = none == nullptr ? 0 : none->retry_after_ms;
   return pick;
 }
 
@@ -254,7 +257,7 @@
   // has left, however late this process comes to its request.
   const auto sink = sink_.lock();
   if (!sink || sink->HasDisconnected()) return Finish("cancelled", 0);
-  CheckInvariant(route_->MayRepeat() || possibly_run_attempts_ == 0,
+  CheckInvariant(route_->IsRetryable() || possibly_run_attempts_ == 0,
                  "a request that may not be repeated is sent on only if it has not run");
   if (is_waiting_for_model_) {
     is_waiting_for_model_ = false;
@@ -319,7 +322,7 @@
   const bool is_key_good =
       !key_ || (KeyOwner() != nullptr && gateway_.AreKeysCurrent(MonotonicMs()));
   const bool is_upstream_good = gateway_.upstreams.IsListed(instance_) &&
-                                !gateway_.upstreams.IsResting(instance_, MonotonicMs());
+                                !gateway_.upstreams.IsBackingOff(instance_, MonotonicMs());
   return sink && !sink->HasDisconnected() && is_key_good && is_upstream_good;
 }
 
@@ -333,9 +336,9 @@
                                                MonotonicMs());
   }
   // An upstream from which a request was withheld has shown no fault.
-  EndAttempt(was_sent                                ? AttemptEnd::kFailed
-             : failure == UpstreamFailure::kWithheld ? AttemptEnd::kRefused
-                                                     : AttemptEnd::kUnreachable);
+  EndAttempt(was_sent                                ? AttemptOutcome::kFailed
+             : failure == UpstreamFailure::kWithheld ? AttemptOutcome::kRefused
+                                                     : AttemptOutcome::kUnreachable);
   if (!was_sent) {
     --possibly_run_attempts_;
     --sent_attempts_;
@@ -344,13 +347,13 @@
   AfterAttempt(was_sent ? Execution::kMayHaveRun : Execution::kNotRun, was_sent, reason);
 }
 
-void Exchange::EndAttempt(AttemptEnd end) {
+void Exchange::EndAttempt(AttemptOutcome end) {
   const TimeMs now = MonotonicMs();
-  const bool is_in_vain = end == AttemptEnd::kSilent || end == AttemptEnd::kAbandoned;
+  const bool is_in_vain = end == AttemptOutcome::kTimedOut || end == AttemptOutcome::kCallerLeft;
   if (model_ && is_in_vain && !is_response_begun_) {
     gateway_.upstreams.OnFirstEvent(*model_, now - attempt_started_at_);
   }
-  gateway_.upstreams.OnEnd(instance_, model_, end, now);
+  gateway_.upstreams.OnAttemptEnd(instance_, model_, end, now);
   gateway_.crash_detector.OnAttemptOver(instance_, this);
   if (std::exchange(is_sole_suspect_, false)) {
     gateway_.probation.Release(instance_, Digest());
@@ -382,7 +385,7 @@
 
 // Takes one attempt from the retry budget.
 bool Exchange::TakeRetryFromBudget(TimeMs now) {
-  if (gateway_.retry_budget.TryTake(service_, now)) {
+  if (gateway_.retry_budget.TryConsume(service_, now)) {
     ++gateway_.counters.retries;
     return true;
   }
@@ -401,14 +404,14 @@
   const TimeMs now = MonotonicMs();
   if (now >= deadline_at_ || sink_.expired()) return false;
   const bool may_have_run = ran == Execution::kMayHaveRun || possibly_run_attempts_ > 0;
-  if (may_have_run && (!route_->MayRepeat() || possibly_run_attempts_ >= route_->max_attempts)) {
+  if (may_have_run && (!route_->IsRetryable() || possibly_run_attempts_ >= route_->max_attempts)) {
     return false;
   }
   const int unrun = sent_attempts_ - possibly_run_attempts_ + unsent_attempts_;
   if (unrun > kMaxUnrunAttempts) return false;
   if (may_have_run || was_sent) {
-    const Pick choice = ChooseUpstream(now);
-    if (std::holds_alternative<NoneLeft>(choice)) return false;
+    const PickResult choice = ChooseUpstream(now);
+    if (std::holds_alternative<NoUpstream>(choice)) return false;
     // Events were delivered: no load can be waited for.
     if (is_response_begun_ && !std::holds_alternative<SendTo>(choice)) return false;
     if (!TakeRetryFromBudget(now)) return false;
@@ -437,7 +440,7 @@
   if (is_finished_) return;
   if (call_) {
     call_->Cancel();
-    EndAttempt(AttemptEnd::kAbandoned);
+    EndAttempt(AttemptOutcome::kCallerLeft);
   }
   Finish("cancelled", 0);
 }
@@ -454,7 +457,7 @@
   if (is_finished_) return;
   if (call_) {
     call_->Cancel();
-    EndAttempt(AttemptEnd::kAbandoned);
+    EndAttempt(AttemptOutcome::kCallerLeft);
   }
   GiveUp(ExecutionSoFar(), "this process ends");
 }
@@ -463,13 +466,14 @@
 // as long as it has.
 DurationMs Exchange::SilenceTimeout() const {
   if (!gateway_.upstreams.policy().leaves_silent) return 0;
-  if (!call_ || !route_->MayRepeat() || possibly_run_attempts_ >= route_->max_attempts) return 0;
-  const bool is_stream = route_->kind == CallKind::kStream;
+  if (!call_ || !route_->IsRetryable() || possibly_run_attempts_ >= route_->max_attempts) return 0;
+  const bool is_stream = route_->kind == RequestKind::kStreaming;
   if (is_response_begun_)
-    return static_cast<DurationMs>(kSilencePauseFactor * static_cast<double>(route_->pause_ms));
+    return static_cast<DurationMs>(kSilencePauseFactor *
+                                   static_cast<double>(route_->stream_gap_target_ms));
   const double targets = is_stream ? kStreamSilenceTargetFactor : kSilenceTargetFactor;
   const auto limit =
-      static_cast<DurationMs>(targets * static_cast<double>(route_->first_answer_ms));
+      static_cast<DurationMs>(targets * static_cast<double>(route_->first_byte_target_ms));
   return std::max(kMinSilenceMs, limit);
 }
 
@@ -489,7 +493,7 @@
   if (now >= deadline_at_) {
     if (call_) {
       call_->Cancel();
-      EndAttempt(AttemptEnd::kSilent);
+      EndAttempt(AttemptOutcome::kTimedOut);
     }
     return GiveUp(ExecutionSoFar(), "no answer within its time");
   }
@@ -505,13 +509,13 @@
   if (silence > 0 && now - last_activity_at_ >= silence) {
     // Only where another upstream can take it and the budget has an attempt
     // left; else the wait goes on.
-    const Pick choice = ChooseUpstream(now);
+    const PickResult choice = ChooseUpstream(now);
     const auto* to = std::get_if<SendTo>(&choice);
     // One with a limit may have nothing left of it.
     const bool is_free = to != nullptr && !gateway_.upstreams.LimitOf(to->instance);
     if (is_free && TakeRetryFromBudget(now)) {
       call_->Cancel();
-      EndAttempt(AttemptEnd::kSilent);
+      EndAttempt(AttemptOutcome::kTimedOut);
       LogAttempt(Execution::kMayHaveRun, "silent");
       return RetryElsewhere();
     }
--- a/src/gateway/exchange.h
+++ b/src/gateway/exchange.h
@@ -62,8 +62,8 @@
   const std::string& service() const { return service_; }
   const std::string& asked_instance() const { return asked_instance_; }
   int priority() const { return priority_; }
-  DurationMs target_ms() const { return route_->first_answer_ms; }
-  TimeMs first_byte_due_at() const { return request_.arrived_at + route_->first_answer_ms; }
+  DurationMs target_ms() const { return route_->first_byte_target_ms; }
+  TimeMs first_byte_due_at() const { return request_.arrived_at + route_->first_byte_target_ms; }
   TimeMs waiting_since() const { return waiting_since_; }
   TimeMs attempt_started_at() const { return attempt_started_at_; }  // When the last attempt began.
   bool IsSuspect();
@@ -100,7 +100,7 @@
   void RefuseOverQuota(const QuotaClient::Admission& verdict);
   void ReturnQuota();
   void AttemptNext();
-  Pick ChooseUpstream(TimeMs now);
+  PickResult ChooseUpstream(TimeMs now);
   const RequestDigest& Digest();
   QuarantineStatus CurrentStanding();
   void RefuseQuarantined();
@@ -114,7 +114,7 @@
   bool TakeRetryFromBudget(TimeMs now);
   void LogAttempt(Execution ran, std::string_view reason) const;
   void RetryElsewhere();
-  void EndAttempt(AttemptEnd end);
+  void EndAttempt(AttemptOutcome end);
   void RelayStreamHead();
   void RecordEventTime();
   void RecordEventPause();
--- a/src/gateway/exchange_access.cc
+++ b/src/gateway/exchange_access.cc
@@ -180,9 +180,9 @@
 
 void Exchange::RecordUpstreamLimitReached(const std::string& instance, DurationMs retry_ms) {
   ++gateway_.counters.rate_limited_sends;
-  UpstreamTerms* terms = gateway_.upstreams.FindTerms(instance);
+  UpstreamThrottle* terms = gateway_.upstreams.FindThrottle(instance);
   if (terms == nullptr) return;
-  terms->OnLimitReached(MonotonicMs() + std::max(retry_ms, kMinLimitRetryMs));
+  terms->OnLimitExhausted(MonotonicMs() + std::max(retry_ms, kMinLimitRetryMs));
 }
 
 void Exchange::RefuseOverQuota(const QuotaClient::Admission& verdict) {
--- a/src/gateway/exchange_answer.cc
+++ b/src/gateway/exchange_answer.cc
@@ -29,7 +29,7 @@
 
 void Exchange::OnHead(UpstreamHead head) {
   last_activity_at_ = MonotonicMs();
-  gateway_.upstreams.OnHeard(instance_, last_activity_at_);
+  gateway_.upstreams.OnResponseData(instance_, last_activity_at_);
   gateway_.crash_detector.OnDataReceived(instance_, last_activity_at_);
   // Such an answer may be that of another instance at the address.
   if (head.status != kMisdirectedRequest)
@@ -37,7 +37,7 @@
   const HttpHeaderNames& names = gateway_.options.header_names;
   const bool is_success = head.status / 100 == 2;
   const std::string* type = FindField(head.fields, "Content-Type");
-  is_event_stream_ = is_success && route_->kind == CallKind::kStream &&
+  is_event_stream_ = is_success && route_->kind == RequestKind::kStreaming &&
                      (type == nullptr || type->find("event-stream") != std::string::npos);
   const bool is_not_run =
       FindField(head.fields, names.not_run) != nullptr || head.status == kMisdirectedRequest;
@@ -46,7 +46,7 @@
   const bool is_sealed = FindField(response_head_->fields, names.proof) != nullptr;
   if (is_success && !is_sealed) {
     call_->Cancel();
-    EndAttempt(AttemptEnd::kFailed);
+    EndAttempt(AttemptOutcome::kFailed);
     return AfterAttempt(Execution::kMayHaveRun, true, "the answer has no seal");
   }
   ArmTimer();
@@ -60,25 +60,25 @@
   if (head.status == kMisdirectedRequest) {
     const std::string* other = FindField(head.fields, names.instance);
     if (other != nullptr && *other != upstream_wire_id_) {
-      gateway_.upstreams.OnOtherInstance(instance_);
+      gateway_.upstreams.OnInstanceReplaced(instance_);
       gateway_.crash_detector.OnUpstreamEnded(instance_, "other_instance", now);
       reason = "another instance has the address";
     } else if (model_) {
-      gateway_.upstreams.OnNotLoaded(instance_, *model_, now);
+      gateway_.upstreams.OnModelNotLoaded(instance_, *model_, now);
       reason = "the model is not loaded there";
       // It may be the right one again once the model is loaded.
       tried_instances_.pop_back();
     }
-  } else if (gateway_.upstreams.IsResting(instance_, now)) {
+  } else if (gateway_.upstreams.IsBackingOff(instance_, now)) {
     reason = "it asks for a rest";
-    upstream_opens_in_ms_ = gateway_.upstreams.FindTerms(instance_)->OpensAt() - now;
+    upstream_opens_in_ms_ = gateway_.upstreams.FindThrottle(instance_)->AvailableAt() - now;
     // It may be the right one again after it.
     if (model_) tried_instances_.pop_back();
   } else if (model_ && head.status == kUnavailable) {
     reason = "full, or an order on the model is under way";
   }
   call_->Cancel();
-  EndAttempt(AttemptEnd::kRefused);
+  EndAttempt(AttemptOutcome::kRefused);
   --possibly_run_attempts_;
   AfterAttempt(Execution::kNotRun, true, reason);
 }
@@ -134,10 +134,10 @@
   ClearSuspicion();
   if (!is_event_stream_) return RelayResponse();
   if (!events_.partial_event().empty()) {
-    EndAttempt(AttemptEnd::kFailed);
+    EndAttempt(AttemptOutcome::kFailed);
     return AfterAttempt(Execution::kMayHaveRun, true, "the stream ended within an event");
   }
-  EndAttempt(AttemptEnd::kServed);
+  EndAttempt(AttemptOutcome::kServed);
   const auto sink = sink_.lock();
   if (!sink) return;
   if (!is_response_begun_) RelayStreamHead();
@@ -152,7 +152,7 @@
   // upstream's own word nobody knows that.
   const bool is_false_promise =
       status == kUnavailable || status == kTooManyRequests || status == kRequestTimeout;
-  EndAttempt(status >= 500 ? AttemptEnd::kFailed : AttemptEnd::kServed);
+  EndAttempt(status >= 500 ? AttemptOutcome::kFailed : AttemptOutcome::kServed);
   if (is_false_promise) {
     return AfterAttempt(Execution::kMayHaveRun, true, "status " + std::to_string(status));
   }
@@ -230,7 +230,7 @@
        {"attempts", static_cast<std::int64_t>(sent_attempts_)},
        {"events", static_cast<std::int64_t>(events_.event_count())},
        {"waited_ms", waited_ms_},
-       {"target_ms", route_ != nullptr ? route_->first_answer_ms : 0},
+       {"target_ms", route_ != nullptr ? route_->first_byte_target_ms : 0},
        {"first_ms", response_begun_at_ > 0 ? response_begun_at_ - request_.arrived_at : -1},
        {"pause_ms", longest_pause_ms_},
        {"total_ms", now - request_.arrived_at},
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -35,15 +35,15 @@
 // Later than any moment of a process.
 constexpr TimeMs kNeverLate = 1LL << 60;
 
-std::string_view EventName(ListingNews news) {
+std::string_view EventName(UpstreamChangeKind news) {
   switch (news) {
-    case ListingNews::kListed:
+    case UpstreamChangeKind::kListed:
       return "upstream_listed";
-    case ListingNews::kLeaving:
+    case UpstreamChangeKind::kLeaving:
       return "upstream_leaving";
-    case ListingNews::kMissing:
+    case UpstreamChangeKind::kMissing:
       return "upstream_missing";
-    case ListingNews::kGone:
+    case UpstreamChangeKind::kGone:
       return "upstream_gone";
   }
   return "upstream_listed";
@@ -121,7 +121,7 @@
     if (ec) return;
     self->CheckForSuspension();
     const TimeMs now = MonotonicMs();
-    self->retry_budget.SetEntries(std::max(kAssumedEntries, self->upstreams.Entries(now)));
+    self->retry_budget.SetEntries(std::max(kAssumedEntries, self->upstreams.CountEntries(now)));
     self->pool.CloseIdle(now, [&](const std::string& instance) {
       return self->upstreams.Find(instance) != nullptr;
     });
@@ -129,7 +129,7 @@
     self->crash_detector.Expire(now);
     self->quarantine.Expire(now);
     self->ReportQuarantined();
-    self->quotas.SetEntryCount(self->upstreams.Entries(now), now);
+    self->quotas.SetEntryCount(self->upstreams.CountEntries(now), now);
     self->quotas.RetainLimitedUpstreams(
         [&](const std::string& instance) { return self->upstreams.LimitOf(instance).has_value(); });
     self->SendQuotaMessages();
@@ -206,7 +206,7 @@
     const bool is_concerned =
         instances.count(it->asked_instance()) > 0 ||
         std::any_of(instances.begin(), instances.end(), [&](const std::string& instance) {
-          return upstreams.HoldsNow(instance, *it->model(), MonotonicMs());
+          return upstreams.HasModel(instance, *it->model(), MonotonicMs());
         });
     if (is_concerned) concerned.push_back(it);
   }
@@ -228,20 +228,20 @@
   listing_as_of = listing.as_of;
   const auto changes = upstreams.ApplyListing(listing.records, now);
   for (const auto& it : changes) {
-    if (it.news == ListingNews::kLeaving) crash_detector.OnUpstreamLeaving(it.instance);
-    if (it.news == ListingNews::kGone)
+    if (it.kind == UpstreamChangeKind::kLeaving) crash_detector.OnUpstreamLeaving(it.instance);
+    if (it.kind == UpstreamChangeKind::kGone)
       crash_detector.OnUpstreamEnded(it.instance, "record_gone", now);
     // All of them are new in the first one.
-    if (is_first && it.news == ListingNews::kListed) continue;
+    if (is_first && it.kind == UpstreamChangeKind::kListed) continue;
     log.Write(
-        now, EventName(it.news),
+        now, EventName(it.kind),
         {{"upstream", it.instance}, {"service", it.service}, {"listing_age_ms", ListingAge(now)}});
   }
 }
 
 void Gateway::Impl::OnUpstreamResponse(const std::string& instance,
                                        const internal::UpstreamHead& head, TimeMs sent_at) {
-  UpstreamTerms* terms = upstreams.FindTerms(instance);
+  UpstreamThrottle* terms = upstreams.FindThrottle(instance);
   if (!options.read_notice || terms == nullptr) return;
   const TimeMs now = MonotonicMs();
   const UpstreamNotice notice = options.read_notice(head.status, head.fields);
@@ -256,12 +256,12 @@
               {{"upstream", instance}, {"per_s", FormatLimit(notice.limit_per_s)}});
     SetUpstreamLimit(instance, notice.limit_per_s);
   }
-  terms->OnRest(notice.rest_ms, sent_at, now);
-  if (notice.rest_ms > 0) {
+  terms->OnBackoff(notice.backoff_ms, sent_at, now);
+  if (notice.backoff_ms > 0) {
     ++counters.backoff_requests;
-    log.Write(now, "upstream_rest", {{"upstream", instance}, {"rest_ms", notice.rest_ms}});
+    log.Write(now, "upstream_rest", {{"upstream", instance}, {"rest_ms", notice.backoff_ms}});
   }
-  if (notice.is_leaving && upstreams.OnSaidLeaving(instance, now)) {
+  if (notice.is_leaving && upstreams.OnLeavingNotice(instance, now)) {
     crash_detector.OnUpstreamLeaving(instance);
     log.Write(now, "upstream_says_leaving", {{"upstream", instance}});
   }
@@ -399,14 +399,15 @@
   });
 }
 
-UpstreamTable::Waiting Gateway::Impl::ToWaiting(const internal::Exchange& exchange, TimeMs since) {
-  UpstreamTable::Waiting waiting;
+UpstreamTable::WaitingRequests Gateway::Impl::ToWaiting(const internal::Exchange& exchange,
+                                                        TimeMs since) {
+  UpstreamTable::WaitingRequests waiting;
   waiting.ref = *exchange.model();
   waiting.service = exchange.service();
-  waiting.asked = exchange.asked_instance();
+  waiting.asked_instance = exchange.asked_instance();
   waiting.priority = exchange.priority();
   waiting.since = since;
-  waiting.late_at = exchange.first_byte_due_at();
+  waiting.next_late_at = exchange.first_byte_due_at();
   waiting.count = 1;
   return waiting;
 }
@@ -415,30 +416,30 @@
   refused_waits.push_back(ToWaiting(exchange, MonotonicMs()));
 }
 
-std::vector<UpstreamTable::Waiting> Gateway::Impl::ModelDemands() {
+std::vector<UpstreamTable::WaitingRequests> Gateway::Impl::ModelDemands() {
   const TimeMs now = MonotonicMs();
   refused_waits.erase(
       std::remove_if(refused_waits.begin(), refused_waits.end(),
                      [now](const auto& it) { return now - it.since > kRefusedWaitMs; }),
       refused_waits.end());
-  std::vector<UpstreamTable::Waiting> each = refused_waits;
+  std::vector<UpstreamTable::WaitingRequests> each = refused_waits;
   for (const auto& it : waiting_exchanges) each.push_back(ToWaiting(*it, it->waiting_since()));
-  std::map<ModelRef, UpstreamTable::Waiting> by_model;
+  std::map<ModelRef, UpstreamTable::WaitingRequests> by_model;
   for (auto& it : each) {
-    const bool is_late = it.late_at <= now;
-    if (is_late) it.late_at = kNeverLate;
+    const bool is_late = it.next_late_at <= now;
+    if (is_late) it.next_late_at = kNeverLate;
     it.late = is_late ? it.count : 0;
     const auto [found, is_first] = by_model.emplace(it.ref, it);
     if (is_first) continue;
-    UpstreamTable::Waiting& waiting = found->second;
+    UpstreamTable::WaitingRequests& waiting = found->second;
     waiting.count += it.count;
     waiting.late += it.late;
-    waiting.late_at = std::min(waiting.late_at, it.late_at);
+    waiting.next_late_at = std::min(waiting.next_late_at, it.next_late_at);
     waiting.priority = std::min(waiting.priority, it.priority);
     waiting.since = std::min(waiting.since, it.since);
-    waiting.asked = it.asked;
+    waiting.asked_instance = it.asked_instance;
   }
-  std::vector<UpstreamTable::Waiting> all;
+  std::vector<UpstreamTable::WaitingRequests> all;
   for (auto& [ref, waiting] : by_model) all.push_back(std::move(waiting));
   return all;
 }
@@ -447,7 +448,7 @@
   if (!routes) return kMinConnections;
   const ServiceSpec* service = routes->configuration().FindService(upstream.service);
   if (service == nullptr || service->max_connections <= 0) return 0;
-  const int entries = std::max(kAssumedEntries, upstreams.Entries(MonotonicMs()));
+  const int entries = std::max(kAssumedEntries, upstreams.CountEntries(MonotonicMs()));
   return std::max(kMinConnections, service->max_connections / entries);
 }
 
@@ -505,11 +506,11 @@
 const UpstreamTable& Gateway::upstreams() const { return impl_->upstreams; }
 
 std::map<std::string, AgentDemand> Gateway::Demands() {
-  return impl_->upstreams.Demands(impl_->ModelDemands(), MonotonicMs());
+  return impl_->upstreams.BuildDemands(impl_->ModelDemands(), MonotonicMs());
 }
 
 std::vector<ModelDemand> Gateway::WaitingDemandFor(const std::string& instance) {
-  return impl_->upstreams.WantedFrom(instance, impl_->ModelDemands(), MonotonicMs());
+  return impl_->upstreams.ModelDemandsFor(instance, impl_->ModelDemands(), MonotonicMs());
 }
 
 void Gateway::OnNewDemand(std::function<void(const std::string& instance)> call) {
--- a/src/gateway/gateway_impl.h
+++ b/src/gateway/gateway_impl.h
@@ -45,7 +45,7 @@
                                    const std::string& organisation, double amount);
   // The same for what an upstream that names a limit takes.
   QuotaClient::Admission TakeUpstreamQuota(const std::shared_ptr<internal::Exchange>& exchange,
-                                        const std::string& instance);
+                                           const std::string& instance);
   void AwaitQuotaDecision(const std::shared_ptr<internal::Exchange>& exchange,
                           std::uint64_t ticket);
   void SetUpstreamLimit(const std::string& instance, std::optional<double> per_s);
@@ -59,8 +59,8 @@
   void RetryWaiting();
   void RetryAffected();
   static void RetryInOrder(std::vector<std::shared_ptr<internal::Exchange>> all);
-  std::vector<UpstreamTable::Waiting> ModelDemands();
-  static UpstreamTable::Waiting ToWaiting(const internal::Exchange& exchange, TimeMs since);
+  std::vector<UpstreamTable::WaitingRequests> ModelDemands();
+  static UpstreamTable::WaitingRequests ToWaiting(const internal::Exchange& exchange, TimeMs since);
   // A request could not wait for its model; others will ask for it.
   void RecordRefusedWait(const internal::Exchange& exchange);
 
@@ -100,7 +100,8 @@
   LatencyHistogram listing_age;
   TimeMs listing_as_of = 0;  // 0: never listed, or by another entry's word.
   std::set<std::shared_ptr<internal::Exchange>> waiting_exchanges;
-  std::vector<UpstreamTable::Waiting> refused_waits;  // Of the last seconds; `since` is when.
+  std::vector<UpstreamTable::WaitingRequests>
+      refused_waits;  // Of the last seconds; `since` is when.
   std::set<std::shared_ptr<internal::CallerConnection>> connections;
   std::function<void(const std::string& instance)> on_new_demand;
   std::function<void(const UpstreamCrash&)> on_upstream_end;
--- a/test/gateway_test.cc
+++ b/test/gateway_test.cc
@@ -39,7 +39,7 @@
   fixture.AddUpstream("u1", "plain", [](const SeenRequest&, const Peer& peer) {
     peer->Write(OkResponse("hello"));
   });
-  fixture.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
+  fixture.Configure({MakeRoute("/a/", RequestKind::kNonIdempotent, "plain")});
   const std::string answer = fixture.Fetch(MakeRequest("POST /a/b?q=1", "X-Own: v\r\n", "body"));
   EXPECT_TRUE(Contains(answer, "200 OK") && Contains(answer, "hello"), answer);
   EXPECT_TRUE(Contains(answer, "Junctionrail-Proof: p"), "the upstream's fields go on");
@@ -53,7 +53,7 @@
 TEST(GatewayServes, AnswersUnavailableBeforeAConfigurationIsKnownAndNotFoundAfter) {
   Fixture fixture;
   EXPECT_TRUE(Contains(fixture.Fetch(MakeRequest("GET /a/b")), "503 "), "nothing is known yet");
-  fixture.Configure({MakeRoute("/a/", CallKind::kRepeatable, "plain")});
+  fixture.Configure({MakeRoute("/a/", RequestKind::kIdempotent, "plain")});
   EXPECT_TRUE(Contains(fixture.Fetch(MakeRequest("GET /other")), "404 "),
               "no route has this prefix");
 }
@@ -64,7 +64,7 @@
   Fixture fixture(options);
   fixture.AddUpstream("u1", "plain",
                       [](const SeenRequest&, const Peer& peer) { peer->Write(OkResponse("")); });
-  fixture.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
+  fixture.Configure({MakeRoute("/a/", RequestKind::kNonIdempotent, "plain")});
   fixture.Fetch(
       MakeRequest("GET /a/", "Junctionrail-Hold: 7\r\nJunctionrail-Expected-Instance: u9\r\n"));
   const SeenRequest& seen = fixture.upstreams[0]->seen().at(0);
@@ -79,7 +79,7 @@
     peer->Write(EventStreamHead() + EventChunk(1));
     stream = peer;
   });
-  fixture.Configure({MakeRoute("/s/", CallKind::kStream, "engine")});
+  fixture.Configure({MakeRoute("/s/", RequestKind::kStreaming, "engine")});
   TestCaller caller(fixture.io, fixture.port);
   caller.Send(MakeRequest("POST /s/"));
   EXPECT_TRUE(caller.AwaitText("id: 1"), "the first event comes before the second is made");
@@ -99,7 +99,7 @@
   };
   fixture.AddUpstream("u1", "plain", script);
   fixture.AddUpstream("u2", "plain", script);
-  fixture.Configure({MakeRoute("/a/", CallKind::kRepeatable, "plain")});
+  fixture.Configure({MakeRoute("/a/", RequestKind::kIdempotent, "plain")});
   EXPECT_TRUE(Contains(fixture.Fetch(MakeRequest("GET /a/")), "200 OK"),
               "the second upstream served it");
   EXPECT_NUMBER(2, calls, "one failure, one answer");
@@ -114,7 +114,7 @@
   };
   fixture.AddUpstream("u1", "plain", script);
   fixture.AddUpstream("u2", "plain", script);
-  fixture.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
+  fixture.Configure({MakeRoute("/a/", RequestKind::kNonIdempotent, "plain")});
   const std::string answer = fixture.Fetch(MakeRequest("POST /a/", "", "order"));
   EXPECT_TRUE(Contains(answer, "502 ") && Contains(answer, "\"ran\":\"unknown\""), answer);
   EXPECT_NUMBER(1, calls, "it was sent once");
@@ -131,7 +131,7 @@
   };
   fixture.AddUpstream("u1", "plain", script);
   fixture.AddUpstream("u2", "plain", script);
-  fixture.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
+  fixture.Configure({MakeRoute("/a/", RequestKind::kNonIdempotent, "plain")});
   EXPECT_TRUE(Contains(fixture.Fetch(MakeRequest("POST /a/", "", "order")), "200 OK"),
               "served elsewhere");
 }
@@ -144,7 +144,7 @@
         "HTTP/1.1 503 Service Unavailable\r\nJunctionrail-Request-Id: r1\r\n"
         "Junctionrail-Proof: p\r\nContent-Length: 0\r\n\r\n");
   });
-  fixture.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
+  fixture.Configure({MakeRoute("/a/", RequestKind::kNonIdempotent, "plain")});
   const std::string answer = fixture.Fetch(MakeRequest("POST /a/", "", "order"));
   EXPECT_TRUE(Contains(answer, "502 ") && !Contains(answer, "Junctionrail-Proof"), answer);
 }
@@ -161,8 +161,8 @@
   };
   fixture.AddUpstream("u1", "plain", script);
   fixture.AddUpstream("u2", "plain", script);
-  Route route = MakeRoute("/a/", CallKind::kRepeatable, "plain");
-  route.first_answer_ms = 100;
+  Route route = MakeRoute("/a/", RequestKind::kIdempotent, "plain");
+  route.first_byte_target_ms = 100;
   fixture.Configure({route});
   const std::string answer = fixture.Fetch(MakeRequest("GET /a/"));
   EXPECT_TRUE(Contains(answer, "200 OK") && Contains(answer, "late"), answer);
@@ -182,7 +182,7 @@
   };
   fixture.AddUpstream("u1", "engine", script);
   fixture.AddUpstream("u2", "engine", script);
-  Route route = MakeRoute("/s/", CallKind::kStream, "engine");
+  Route route = MakeRoute("/s/", RequestKind::kStreaming, "engine");
   route.is_resumable = true;
   fixture.Configure({route});
   const std::string answer = fixture.Fetch(MakeRequest("POST /s/"));
@@ -197,7 +197,7 @@
     peer->Write(EventStreamHead() + EventChunk(1));
     peer->Close();
   });
-  fixture.Configure({MakeRoute("/s/", CallKind::kStream, "engine")});
+  fixture.Configure({MakeRoute("/s/", RequestKind::kStreaming, "engine")});
   const std::string answer = fixture.Fetch(MakeRequest("POST /s/"));
   EXPECT_TRUE(Contains(answer, "id: 1"), answer);
   EXPECT_TRUE(!Contains(answer, "0\r\n\r\n"), "no last chunk");
@@ -212,7 +212,7 @@
     if (id == "first") return peer->Write(OkResponse("one", "first"));
     peer->Write(OkResponse("one", "first") + OkResponse("two", id));
   });
-  fixture.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
+  fixture.Configure({MakeRoute("/a/", RequestKind::kNonIdempotent, "plain")});
   TestCaller caller(fixture.io, fixture.port);
   caller.Send(MakeKeepAliveRequest("GET /a/", "first"));
   EXPECT_TRUE(caller.AwaitText("one"), "the first answer");
@@ -229,7 +229,7 @@
     const std::string id = request.Field("Junctionrail-Request-Id");
     peer->Write(OkResponse("own", id) + OkResponse("surplus", id));
   });
-  fixture.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
+  fixture.Configure({MakeRoute("/a/", RequestKind::kNonIdempotent, "plain")});
   TestCaller caller(fixture.io, fixture.port);
   caller.Send(MakeKeepAliveRequest("GET /a/", "first"));
   EXPECT_TRUE(caller.AwaitText("own"), "the first answer");
@@ -248,7 +248,7 @@
         "HTTP/1.1 200 OK\r\nJunctionrail-Request-Id: r1\r\nJunctionrail-Proof: p\r\n\r\nall");
     is_reset ? peer->Reset() : peer->Close();
   });
-  fixture.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
+  fixture.Configure({MakeRoute("/a/", RequestKind::kNonIdempotent, "plain")});
   EXPECT_TRUE(Contains(fixture.Fetch(MakeRequest("GET /a/")), "Content-Length: 3"),
               "closed: whole");
   is_reset = true;
@@ -262,7 +262,7 @@
   Fixture fixture;
   fixture.AddUpstream("u1", "plain",
                       [](const SeenRequest&, const Peer& peer) { peer->Write(OkResponse("")); });
-  fixture.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
+  fixture.Configure({MakeRoute("/a/", RequestKind::kNonIdempotent, "plain")});
   for (const std::string fields :
        {"Content-Length: 3\r\nTransfer-Encoding: chunked\r\n", "Transfer-Encoding: xchunked\r\n",
         "Transfer-Encoding: identity\r\nTransfer-Encoding: chunked\r\n",
@@ -278,7 +278,7 @@
   Fixture fixture;
   fixture.limits.max_header_bytes = 512;
   fixture.limits.max_body_bytes = 16;
-  fixture.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
+  fixture.Configure({MakeRoute("/a/", RequestKind::kNonIdempotent, "plain")});
   const std::string long_field = "X-Long: " + std::string(600, 'x') + "\r\n";
   EXPECT_TRUE(Contains(fixture.Fetch(MakeRequest("GET /a/", long_field)), "431 "),
               "the head is too long");
@@ -289,7 +289,7 @@
 TEST(GatewayRejects, HeadsThatTrickleIn) {
   Fixture fixture;
   fixture.limits.header_timeout_ms = 50;
-  fixture.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
+  fixture.Configure({MakeRoute("/a/", RequestKind::kNonIdempotent, "plain")});
   TestCaller caller(fixture.io, fixture.port);
   caller.Send("GET /a/ HT");
   EXPECT_TRUE(caller.AwaitEnd() && Contains(caller.received(), "408 "), caller.received());
@@ -304,8 +304,8 @@
   EngineFixture() {
     RoutingConfiguration configuration;
     configuration.version = 1;
-    Route route = MakeRoute("/s/", CallKind::kStream, "engine");
-    route.patience_ms = 2000;
+    Route route = MakeRoute("/s/", RequestKind::kStreaming, "engine");
+    route.caller_timeout_ms = 2000;
     configuration.routes = {route};
     EngineSpec spec;
     spec.accelerator_mb = 100;
@@ -318,7 +318,7 @@
     EngineView view;
     view.instance = "u1";
     view.loaded = std::move(loaded);
-    view.at_hand = {"a"};
+    view.cached_models = {"a"};
     gateway->ApplyView(view);
   }
 
@@ -387,7 +387,7 @@
   // An upstream that is paused reads what its kernel holds when it goes on: after
   // an orderly close that would be a request whose caller left long before.
   Fixture fixture;
-  fixture.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
+  fixture.Configure({MakeRoute("/a/", RequestKind::kNonIdempotent, "plain")});
   tcp::acceptor paused(fixture.io, tcp::endpoint(boost::asio::ip::make_address("127.0.0.1"), 0));
   UpstreamRecord record;
   record.instance = "u1";
@@ -428,7 +428,7 @@
   RoutingConfiguration configuration = fixture.gateway->configuration();
   configuration.version = 2;
   configuration.routes[0].is_resumable = true;
-  configuration.routes[0].patience_ms = 300;
+  configuration.routes[0].caller_timeout_ms = 300;
   fixture.gateway->ApplyConfiguration(configuration);
   fixture.Show({{"b", {}}});
   EngineView other;
@@ -446,7 +446,7 @@
   Fixture fixture;
   const auto answer = [](const SeenRequest&, const Peer& peer) { peer->Write(OkResponse("x")); };
   fixture.AddUpstream("u1", "plain", answer);
-  fixture.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
+  fixture.Configure({MakeRoute("/a/", RequestKind::kNonIdempotent, "plain")});
   TestCaller caller(fixture.io, fixture.port);
   caller.Send(MakeRequest("POST /a/b", "", "body"));
   EXPECT_TRUE(
@@ -463,7 +463,7 @@
   Fixture fixture;
   fixture.AddUpstream("u1", "plain",
                       [](const SeenRequest&, const Peer& peer) { peer->Write(OkResponse("x")); });
-  fixture.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
+  fixture.Configure({MakeRoute("/a/", RequestKind::kNonIdempotent, "plain")});
   TestCaller caller(fixture.io, fixture.port);
   caller.Send(MakeRequest("POST /a/b", "", "body"));
   EXPECT_TRUE(
@@ -485,7 +485,7 @@
   fixture.AddUpstream("u1", "plain", [](const SeenRequest&, const Peer& peer) {
     peer->Write(OkResponse("hello"));
   });
-  fixture.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
+  fixture.Configure({MakeRoute("/a/", RequestKind::kNonIdempotent, "plain")});
   TestCaller caller(fixture.io, fixture.port);
   RunFor(fixture.io, 20);
   const std::string request = MakeRequest("GET /a/1");
@@ -502,7 +502,7 @@
   Fixture fixture;
   fixture.AddUpstream(
       "u1", "plain", [](const SeenRequest&, const Peer& peer) { peer->Write(OkResponse("late")); });
-  fixture.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
+  fixture.Configure({MakeRoute("/a/", RequestKind::kNonIdempotent, "plain")});
   fixture.Fetch(MakeRequest("GET /a/1"));
   TestCaller caller(fixture.io, fixture.port);
   caller.Send(MakeRequest("GET /a/2"));
@@ -517,7 +517,7 @@
   fixture.AddUpstream("u1", "engine", [](const SeenRequest&, const Peer& peer) {
     peer->Write(EventStreamHead() + EventChunk(1));
   });
-  fixture.Configure({MakeRoute("/s/", CallKind::kStream, "engine")});
+  fixture.Configure({MakeRoute("/s/", RequestKind::kStreaming, "engine")});
   TestCaller caller(fixture.io, fixture.port);
   caller.Send(MakeRequest("POST /s/"));
   caller.AwaitText("id: 1");
@@ -529,7 +529,7 @@
 TEST(GatewayEnds, AnswersAtTheRoutesTimeLimit) {
   Fixture fixture;
   fixture.AddUpstream("u1", "plain", [](const SeenRequest&, const Peer&) {});
-  Route route = MakeRoute("/a/", CallKind::kOnce, "plain");
+  Route route = MakeRoute("/a/", RequestKind::kNonIdempotent, "plain");
   route.timeout_ms = 60;
   fixture.Configure({route});
   const std::string answer = fixture.Fetch(MakeRequest("POST /a/", "", "order"));
@@ -547,7 +547,7 @@
     peer->Write(EventStreamHead("s") + EventChunk(1));
     stream = peer;
   });
-  fixture.Configure({MakeRoute("/s/", CallKind::kStream, "engine")});
+  fixture.Configure({MakeRoute("/s/", RequestKind::kStreaming, "engine")});
   TestCaller caller(fixture.io, fixture.port);
   caller.Send(MakeKeepAliveRequest("POST /s/", "s"));
   caller.AwaitText("id: 1");
--- a/test/random_placement_test.cc
+++ b/test/random_placement_test.cc
@@ -31,7 +31,7 @@
   EngineSpec Spec() const {
     EngineSpec spec;
     spec.accelerator_mb = kAcceleratorMb;
-    spec.adapter_places = kAdapterSlots;
+    spec.adapter_slots = kAdapterSlots;
     for (int n = 0; n < kModels; ++n) {
       spec.models.push_back({ModelName(n), 72, 1, 600, 120, 80});
     }
