--- a/test/fleet_test.cc
+++ b/test/fleet_test.cc
@@ -1,5 +1,5 @@
-// Entries and agents together, without sockets: what they decide when many
-// engines must load at once. Time goes on in steps; a message takes one.
+// Simulates entries and agents, without sockets, while many engines must load models at
+// once. Time advances in steps; each message takes one step.
 #include "check.h"
 #include "junctionrail/placement.h"
 #include "junctionrail/routing.h"
@@ -11,8 +11,8 @@
 constexpr int kEngines = 12;
 constexpr int kEntries = 3;
 constexpr int kModels = 24;
-// As on the users' sites: a load alone takes 6 s, and more than four at once
-// slow each other down.
+// As on users' sites: a single load takes 6 s, and more than four concurrent loads slow
+// each other down.
 constexpr DurationMs kStoreLoadMs = 6000;
 constexpr double kLoadsAtFullSpeed = 4;
 
@@ -28,13 +28,13 @@
   return spec;
 }
 
-// An engine with an empty disk, which does what it is told.
+// An engine with an empty disk that executes every order.
 struct Engine {
   std::string instance;
   PlacementCore core;
   EngineReport report;
   std::string loading;
-  double load_remaining_ms = 0;  // Of the load, at full speed.
+  double load_remaining_ms = 0;  // At full speed.
 
   void Execute(const EngineOrder& order) {
     ++report.sequence;
@@ -90,7 +90,8 @@
     }
   }
 
-  // Each model that is not up has one request waiting at one entry.
+  // Advances the simulation by one step. Each model that is not loaded has one request
+  // waiting at one entry.
   void Step() {
     now_ += kStepMs;
     for (auto& it : engines_) StepEngine(it);
@@ -163,14 +164,15 @@
 TEST_GROUP(FleetSimulation){};
 
 TEST(FleetSimulation, LoadsFirstModelsAtStoreSpeedAfterTotalLoss) {
-  // after all VMs had lost power each engine loaded from
-  // the store at once, and nothing was up for twenty seconds.
+  // Guards against overloading the weight store: after a power loss of all VMs, every engine
+  // loaded from the store at once, and no model was ready for twenty seconds.
   Fleet fleet;
   for (DurationMs ms = 0; ms < kStoreLoadMs + 1000; ms += kStepMs) fleet.Step();
-  EXPECT_TRUE(fleet.CountLoadedModels() >= 4, "four loads at full speed are over after 6 s, got " +
-                                                  std::to_string(fleet.CountLoadedModels()));
+  EXPECT_TRUE(fleet.CountLoadedModels() >= 4,
+              "expected four loads at full speed to be done after 6 s, got " +
+                  std::to_string(fleet.CountLoadedModels()));
   EXPECT_TRUE(fleet.peak_loads() <= 5,
-              "expected four at once and hardly more, got " + std::to_string(fleet.peak_loads()));
+              "expected about four concurrent loads, got " + std::to_string(fleet.peak_loads()));
 }
 
 TEST(FleetSimulation, KeepsStoreBusyUntilAllModelsAreLoaded) {
@@ -178,7 +180,7 @@
   const DurationMs at_best = kStoreLoadMs * kModels / static_cast<DurationMs>(kLoadsAtFullSpeed);
   for (DurationMs ms = 0; ms < at_best * 5 / 4; ms += kStepMs) fleet.Step();
   EXPECT_NUMBER(kModels, fleet.CountLoadedModels(),
-                "in a quarter more than the store needs for all");
+                "expected all models within 1.25 times the minimum load time");
 }
 
 }  // namespace junctionrail
--- a/test/leaving_upstreams_test.cc
+++ b/test/leaving_upstreams_test.cc
@@ -1,18 +1,17 @@
-// Incident: requests sent to upstreams that had said they were leaving.
+// Guards against requests to upstreams that announced their departure.
 //
-// Seen: on three fleets an upstream got requests from one entry up to 3.5 s after
-// the store had taken its word that it leaves; 2 s are allowed. The other entries
-// had stopped within 1.3 s.
-// How it came about: the entry had been cut from the store for 3 s. It read the list
-// 1.6 s after the cut ended, with the upstream in it, and again 1.5 s later,
-// without. It went on choosing that upstream for 2.3 s.
-// Cause: the entry took its own failed readings for an outage of the store, after which
-// records may be missing that only lapsed, and held a record for lapsed although
-// it had been there in a reading after the outage. Beside it, nothing bounded the time
-// from one good reading to the next: a reading without an answer held up the one after
-// it, and asking for a reading sooner could put it off for ever.
-// Proof: lines of the log that say what each reading changed (upstream_missing and no
-// upstream_gone), and the tests below, which failed before.
+// On three fleets, one entry sent requests to an upstream up to 3.5 s after the upstream's
+// departure was stored; 2 s are allowed. The other entries stopped within 1.3 s. The entry
+// had been partitioned from the store for 3 s. Its poll 1.6 s after the partition ended
+// still contained the upstream, the next one 1.5 s later did not, and it kept choosing the
+// upstream for 2.3 s.
+// The entry treated its own failed polls as a store outage, after which records may be
+// missing that only expired, and considered a record expired although a poll after the
+// outage had contained it. In addition, the time between two successful polls was
+// unbounded: an unanswered poll delayed the next one, and requests for an earlier poll
+// could postpone it indefinitely.
+// The log showed this as upstream_missing events without upstream_gone. The tests below
+// failed before the fix.
 
 #include "check.h"
 #include "junctionrail/gateway.h"
@@ -36,7 +35,7 @@
          state + R"("})";
 }
 
-// An entry's way from the store's list of upstreams to the choice among them.
+// An entry's path from the store's list of upstreams to the choice among them.
 struct ListingWorld {
   void Follow(DurationMs period_ms) {
     upstreams = std::make_unique<platform::UpstreamFollower>(
@@ -47,7 +46,7 @@
     upstreams->Start();
   }
 
-  // The upstream that a request goes to; empty when there is none for it.
+  // The upstream chosen for a request; empty if there is none.
   std::string Choice() {
     PickRequest request;
     request.service = "plain";
@@ -83,53 +82,54 @@
   ListingWorld world;
   world.store.Put("servers/i-1", MakeRecord());
   world.Follow(kPeriodMs);
-  EXPECT_TRUE(world.AwaitChoice("i-1"), "it is listed");
+  EXPECT_TRUE(world.AwaitChoice("i-1"), "the upstream is listed");
   world.store.mood = StandinStore::Mood::kSilent;
   RunFor(world.io, 3000);
   world.store.mood = StandinStore::Mood::kFine;
-  EXPECT_TRUE(world.AwaitListing(), "the way to the store is whole again");
-  EXPECT_TEXT("i-1", world.Choice(), "its record did not lapse");
+  EXPECT_TRUE(world.AwaitListing(), "expected a listing after the partition");
+  EXPECT_TEXT("i-1", world.Choice(), "its record did not expire");
   world.store.Remove("servers/i-1");
-  EXPECT_TRUE(world.AwaitListing() && world.AwaitListing(), "one may have begun before");
-  EXPECT_TEXT("", world.Choice(), "it has left since the outage");
+  EXPECT_TRUE(world.AwaitListing() && world.AwaitListing(),
+              "expected two listings, as the first poll may have started before");
+  EXPECT_TEXT("", world.Choice(), "it left after the outage");
 }
 
 TEST(LeavingUpstreams, DetectedDespiteUnansweredPoll) {
   ListingWorld world;
   world.store.Put("servers/i-1", MakeRecord());
   world.Follow(kPeriodMs);
-  EXPECT_TRUE(world.AwaitChoice("i-1"), "it is listed");
+  EXPECT_TRUE(world.AwaitChoice("i-1"), "the upstream is listed");
   world.store.HoldNext();
   EXPECT_TRUE(RunUntil(world.io, [&] { return world.store.is_call_held(); }), "");
   world.store.Put("servers/i-1", MakeRecord("draining"));
-  EXPECT_TRUE(world.AwaitChoice(""), "it says that it leaves");
+  EXPECT_TRUE(world.AwaitChoice(""), "the upstream is draining");
   EXPECT_TRUE(world.store.calls_beside_held() > 0,
-              "it was read again while the first call still waited");
+              "expected another poll while the first was unanswered");
 }
 
 TEST(LeavingUpstreams, DetectedDespiteFrequentPollRequests) {
   ListingWorld world;
   world.store.Put("servers/i-1", MakeRecord());
   world.Follow(kPeriodMs);
-  EXPECT_TRUE(world.AwaitChoice("i-1"), "it is listed");
+  EXPECT_TRUE(world.AwaitChoice("i-1"), "the upstream is listed");
   Timer often(world.io);
   often.Every(50, [&] { world.upstreams->ReadSoon(); });
   RunFor(world.io, 100);
   world.store.Put("servers/i-1", MakeRecord("draining"));
-  EXPECT_TRUE(world.AwaitChoice(""), "it says that it leaves");
+  EXPECT_TRUE(world.AwaitChoice(""), "the upstream is draining");
 }
 
 TEST(LeavingUpstreams, NotRestoredByLateAnswerToOlderPoll) {
   ListingWorld world;
   world.store.Put("servers/i-1", MakeRecord());
   world.Follow(kPeriodMs);
-  EXPECT_TRUE(world.AwaitChoice("i-1"), "it is listed");
+  EXPECT_TRUE(world.AwaitChoice("i-1"), "the upstream is listed");
   world.store.HoldNext();
   EXPECT_TRUE(RunUntil(world.io, [&] { return world.store.is_call_held(); }), "");
   world.store.Remove("servers/i-1");
   world.upstreams->ReadSoon();
-  EXPECT_TRUE(world.AwaitChoice(""), "it has left");
-  EXPECT_TRUE(world.store.is_call_held(), "the first call still waits");
+  EXPECT_TRUE(world.AwaitChoice(""), "the upstream left");
+  EXPECT_TRUE(world.store.is_call_held(), "expected the first poll to be still unanswered");
   world.store.AnswerHeld();
   const std::size_t calls = world.store.calls.size();
   bool came_back = false;
@@ -137,7 +137,7 @@
     came_back |= world.Choice() == "i-1";
     return world.store.calls.size() >= calls + 2;
   });
-  EXPECT_TRUE(was_read_again && !came_back, "the answer is from before it left");
+  EXPECT_TRUE(was_read_again && !came_back, "the late answer predates the departure");
 }
 
 }  // namespace junctionrail
--- a/test/poll_schedule_test.cc
+++ b/test/poll_schedule_test.cc
@@ -1,4 +1,4 @@
-// When a list is read that must not be older than a bound, in model time.
+// Tests of the poll schedule for data with a bounded age, in simulated time.
 #include <algorithm>
 #include <set>
 
@@ -8,13 +8,13 @@
 namespace junctionrail {
 namespace {
 
-// As an entry reads the list where upstreams that leave may get requests for 2 s.
+// As for an entry's upstream list: leaving upstreams may get requests for at most 2 s.
 constexpr DurationMs kPeriodMs = 900;
 constexpr DurationMs kBoundMs = 2000;
 
-// A store, and a schedule that is followed to the millisecond.
+// A store, and a client that follows the schedule to the millisecond.
 struct SimulatedStore {
-  // Runs until `until`; calls whose number is in `lost` get no answer.
+  // Runs until `until`; polls whose number is in `lost` get no answer.
   void Run(TimeMs until) {
     for (; now < until; ++now) {
       DeliverAnswers();
@@ -44,7 +44,7 @@
   std::set<std::uint64_t> lost;
   std::vector<PollSchedule::Poll> polls;
   std::vector<PendingAnswer> pending;
-  DurationMs max_age_ms = 0;  // The list was never older.
+  DurationMs max_age_ms = 0;  // Maximum age of the list so far.
 };
 
 }  // namespace
@@ -55,7 +55,8 @@
   SimulatedStore store;
   store.Run(1000 + 3 * kPeriodMs);
   EXPECT_NUMBER(3, store.polls.size(), "");
-  EXPECT_NUMBER(1000 + 2 * kPeriodMs, store.polls[2].begun_at, "whatever the answers took");
+  EXPECT_NUMBER(1000 + 2 * kPeriodMs, store.polls[2].begun_at,
+                "independent of the answers' latency");
 }
 
 TEST(PollSchedule, RetriesUnansweredPoll) {
@@ -64,18 +65,19 @@
   store.Run(4000);
   EXPECT_NUMBER(store.polls[1].begun_at + 250, store.polls[2].begun_at, "");
   EXPECT_TRUE(!store.polls[1].is_retry && store.polls[2].is_retry,
-              "the connection of the first may be dead");
-  EXPECT_NUMBER(store.polls[2].begun_at + kPeriodMs, store.polls[3].begun_at, "all is well again");
+              "the first poll's connection may be dead");
+  EXPECT_NUMBER(store.polls[2].begun_at + kPeriodMs, store.polls[3].begun_at,
+                "normal operation again");
 }
 
 TEST(PollSchedule, KeepsListWithinBoundAfterTwoUnansweredPolls) {
-  // An upstream that said it leaves was sent requests for longer than the bound, as a
-  // call without an answer held up the next one for 1.15 s.
+  // Guards against sending to a leaving upstream for longer than the bound: an unanswered
+  // poll delayed the next one by 1.15 s.
   SimulatedStore store;
   store.lost = {3, 4, 7, 8};
   store.Run(20000);
   EXPECT_TRUE(store.max_age_ms < kBoundMs - 200,
-              "expected 200 ms for the way of a request; the oldest list was " +
+              "expected 200 ms of margin for sending a request; the oldest list was " +
                   std::to_string(store.max_age_ms) + " ms old");
 }
 
@@ -85,10 +87,10 @@
   store.Run(20000);
   const auto retries = std::count_if(store.polls.begin(), store.polls.end(),
                                      [](const auto& it) { return it.is_retry; });
-  EXPECT_TRUE(store.schedule.as_of() > 17000, "each answer is taken");
+  EXPECT_TRUE(store.schedule.as_of() > 17000, "expected every answer to count");
   EXPECT_TRUE(2 * retries <= static_cast<long>(store.polls.size()) + 2,
-              "expected one call in two to be a repeated one at most; got " +
-                  std::to_string(retries) + " of " + std::to_string(store.polls.size()));
+              "expected at most one poll in two to be a retry; got " + std::to_string(retries) +
+                  " of " + std::to_string(store.polls.size()));
 }
 
 TEST(PollSchedule, SlowsDownDuringOutageAndDetectsRecoverySoon) {
@@ -98,13 +100,14 @@
   const std::size_t before = store.polls.size();
   store.Run(13000);
   const std::size_t calls = store.polls.size() - before;
-  EXPECT_TRUE(calls <= 18, "expected 18 calls in 10 s at most, got " + std::to_string(calls));
+  EXPECT_TRUE(calls <= 18, "expected 18 polls in 10 s at most, got " + std::to_string(calls));
   store.is_away = false;
   store.Run(13000 + 620);
-  EXPECT_TRUE(store.schedule.as_of() >= 13000, "it was read within 620 ms of its return");
+  EXPECT_TRUE(store.schedule.as_of() >= 13000,
+              "expected an answered poll within 620 ms of the store's return");
   EXPECT_TRUE(store.schedule.was_unreadable(), "");
   store.Run(16000);
-  EXPECT_TRUE(!store.schedule.was_unreadable(), "all is well again");
+  EXPECT_TRUE(!store.schedule.was_unreadable(), "normal operation again");
 }
 
 TEST(PollSchedule, IgnoresAnswerOlderThanLatest) {
@@ -112,7 +115,7 @@
   const auto first = schedule.Begin(1000);
   const auto second = schedule.Begin(1250);
   EXPECT_TRUE(schedule.OnAnswer(second, 1260), "");
-  EXPECT_TRUE(!schedule.OnAnswer(first, 1300), "the later call was answered before");
+  EXPECT_TRUE(!schedule.OnAnswer(first, 1300), "a later poll was answered first");
   EXPECT_NUMBER(1250, schedule.as_of(), "");
 }
 
@@ -128,7 +131,7 @@
   PollSchedule schedule(kPeriodMs);
   schedule.OnAnswer(schedule.Begin(1000), 1010);
   schedule.OnAnswer(schedule.Begin(6000), 6010);
-  EXPECT_TRUE(schedule.was_unreadable(), "nothing is known of the time between");
+  EXPECT_TRUE(schedule.was_unreadable(), "the state in between is unknown");
   schedule.OnAnswer(schedule.Begin(6900), 6910);
   EXPECT_TRUE(!schedule.was_unreadable(), "");
 }
@@ -138,7 +141,7 @@
   schedule.OnAnswer(schedule.Begin(1000), 1010);
   schedule.OnConnectionLost(30000);
   EXPECT_NUMBER(30250, schedule.NextAt(), "");
-  EXPECT_TRUE(schedule.Begin(30250).is_retry, "on another connection");
+  EXPECT_TRUE(schedule.Begin(30250).is_retry, "expected a new connection");
 }
 
 }  // namespace junctionrail
--- a/test/routing_test.cc
+++ b/test/routing_test.cc
@@ -1,4 +1,4 @@
-// Which upstream a request goes to, without sockets.
+// Tests of routing decisions, without sockets.
 #include "junctionrail/routing.h"
 
 #include "check.h"
@@ -27,9 +27,9 @@
   b.path_prefix = "/a/b/";
   configuration.routes = {a, b};
   const RouteTable table(configuration);
-  EXPECT_TEXT("long", table.Find("shop.example", "/a/b/c")->name, "both match");
-  EXPECT_TEXT("short", table.Find("shop.example:80", "/a/c")->name, "a port is passed over");
-  EXPECT_TRUE(table.Find("shop.example", "/b/") == nullptr, "no prefix");
+  EXPECT_TEXT("long", table.Find("shop.example", "/a/b/c")->name, "longest matching prefix");
+  EXPECT_TEXT("short", table.Find("shop.example:80", "/a/c")->name, "the port is ignored");
+  EXPECT_TRUE(table.Find("shop.example", "/b/") == nullptr, "no prefix matches");
   EXPECT_TRUE(table.Find("other.example", "/a/") == nullptr, "another host");
 }
 
@@ -40,10 +40,10 @@
   int small = 0;
   for (int n = 0; n < 1000; ++n) {
     const std::string id = std::to_string(n);
-    EXPECT_TEXT(PickService(route, id), PickService(route, id), "the same request");
+    EXPECT_TEXT(PickService(route, id), PickService(route, id), "same request id");
     if (PickService(route, id) == "small") ++small;
   }
-  EXPECT_TRUE(small > 60 && small < 140, "about a tenth, got " + std::to_string(small));
+  EXPECT_TRUE(small > 60 && small < 140, "expected about a tenth, got " + std::to_string(small));
 }
 
 TEST_GROUP(RetryBudget){};
@@ -51,28 +51,28 @@
 TEST(RetryBudget, GrowsWithRequestsAndExpiresWithWindow) {
   RetryBudget budget({0.5, 1, 1000});
   EXPECT_TRUE(budget.TryConsume("s", 0), "the fixed allowance");
-  EXPECT_TRUE(!budget.TryConsume("s", 0), "is spent");
+  EXPECT_TRUE(!budget.TryConsume("s", 0), "allowance used up");
   for (int n = 0; n < 4; ++n) budget.OnRequest("s", 10);
   EXPECT_TRUE(budget.TryConsume("s", 10) && budget.TryConsume("s", 10), "half of four requests");
-  EXPECT_TRUE(!budget.TryConsume("s", 10), "no more");
-  EXPECT_TRUE(!budget.TryConsume("s", 900), "within the window");
-  EXPECT_TRUE(budget.TryConsume("s", 1500), "the window has passed");
+  EXPECT_TRUE(!budget.TryConsume("s", 10), "budget used up");
+  EXPECT_TRUE(!budget.TryConsume("s", 900), "retries still in the window");
+  EXPECT_TRUE(budget.TryConsume("s", 1500), "window has expired");
 }
 
 TEST(RetryBudget, AppliesNewOptionsImmediately) {
   RetryBudget budget({0, 1, 10000});
-  EXPECT_TRUE(budget.TryConsume("s", 100), "one attempt");
-  EXPECT_TRUE(!budget.TryConsume("s", 100), "and no more");
+  EXPECT_TRUE(budget.TryConsume("s", 100), "first retry");
+  EXPECT_TRUE(!budget.TryConsume("s", 100), "allowance used up");
   budget.SetOptions({0, 2, 10000});
-  EXPECT_TRUE(budget.TryConsume("s", 100), "two, of which one is spent");
+  EXPECT_TRUE(budget.TryConsume("s", 100), "one of two is left");
   EXPECT_TRUE(!budget.TryConsume("s", 100), "");
 }
 
 TEST(RetryBudget, DividesFixedAllowanceAmongEntries) {
   RetryBudget budget({0, 40, 1000});
   budget.SetEntries(20);
-  EXPECT_TRUE(budget.TryConsume("s", 0) && budget.TryConsume("s", 0), "a twentieth of forty");
-  EXPECT_TRUE(!budget.TryConsume("s", 0), "the rest is for others");
+  EXPECT_TRUE(budget.TryConsume("s", 0) && budget.TryConsume("s", 0), "a twentieth of 40");
+  EXPECT_TRUE(!budget.TryConsume("s", 0), "the rest belongs to other entries");
 }
 
 TEST_GROUP(UpstreamSelection){};
@@ -87,14 +87,14 @@
   busy.service = idle.service = "plain";
   t.table.ApplyListing({leaving, busy, idle}, t.now);
   for (int n = 0; n < 5; ++n) t.table.OnSent("u2", std::nullopt, t.now);
-  EXPECT_TEXT("send u3", t.Choose("plain"), "it has nothing in flight");
-  EXPECT_TEXT("send u2", t.Choose("plain", std::nullopt, {"u3"}), "the other was tried");
+  EXPECT_TEXT("send u3", t.Choose("plain"), "u3 has no requests in flight");
+  EXPECT_TEXT("send u2", t.Choose("plain", std::nullopt, {"u3"}), "u3 was already tried");
   EXPECT_TEXT("all_tried", t.Choose("plain", std::nullopt, {"u2", "u3"}), "u1 is leaving");
 }
 
 TEST(UpstreamSelection, SpreadsRequestsOverEnginesBetweenViews) {
-  // one stream in ten paused for over 300 ms, as all 28
-  // entries sent to the engine that had the least in the last view.
+  // Guards against a herd effect: all 28 entries sent to the engine that was least loaded
+  // in the last view, and one stream in ten had gaps of over 300 ms.
   TableFixture t;
   t.table.ApplyListing({MakeRecord("u1"), MakeRecord("u2")}, t.now);
   EngineView busy = MakeView("u1", {{"a", {}}});
@@ -114,8 +114,8 @@
     at_busy += std::get<SendTo>(pick).instance == "u1" ? 1 : 0;
   }
   EXPECT_TRUE(at_busy >= 40 && at_busy < 100,
-              "expected fewer, but not none, at the busier one; got " + std::to_string(at_busy) +
-                  " of 200");
+              "expected some but fewer requests at the busier engine; got " +
+                  std::to_string(at_busy) + " of 200");
 }
 
 TEST(UpstreamSelection, RemembersLeavingAcrossLaterListings) {
@@ -126,14 +126,14 @@
   t.table.ApplyListing({record}, t.now);
   record.is_leaving = false;
   t.table.ApplyListing({record}, t.now);
-  EXPECT_TEXT("no_upstream", t.Choose("plain"), "a listing may lag");
+  EXPECT_TEXT("no_upstream", t.Choose("plain"), "a listing may be out of date");
 }
 
 namespace {
 
-// A table that is told listings as an entry reads them.
+// An upstream table that receives listings as an entry polls them.
 struct PolledTable : TableFixture {
-  // A reading that took 10 ms.
+  // A poll that takes 10 ms.
   void Poll(const std::vector<std::string>& instances, bool was_unreadable = false) {
     std::vector<UpstreamRecord> records;
     for (const auto& it : instances) {
@@ -159,20 +159,19 @@
 TEST(ExpiredRecords, KeepsMissingRecordsForTwoSecondsOnlyAfterOutage) {
   PolledTable t;
   t.Poll({"u1"});
-  EXPECT_TRUE(!t.expired_records.RecheckAt(), "nothing is missing");
+  EXPECT_TRUE(!t.expired_records.RecheckAt(), "no record is missing");
   t.PollAfterOutage({});
-  EXPECT_TEXT("send u1", t.Choose("plain"), "it may only have lapsed");
-  EXPECT_NUMBER(t.now + 2000, t.expired_records.RecheckAt().value_or(0),
-                "it is looked for again then");
+  EXPECT_TEXT("send u1", t.Choose("plain"), "its record may only have expired");
+  EXPECT_NUMBER(t.now + 2000, t.expired_records.RecheckAt().value_or(0), "time of the next check");
   t.now += 1000;
   t.Poll({});
-  EXPECT_TEXT("send u1", t.Choose("plain"), "it may yet come back");
+  EXPECT_TEXT("send u1", t.Choose("plain"), "it may still come back");
   t.now += 1000;
   t.Poll({});
   EXPECT_TEXT("no_upstream", t.Choose("plain"), "it would be back by now");
   t.Poll({"u1"});
   t.Poll({});
-  EXPECT_TEXT("no_upstream", t.Choose("plain"), "no outage explains that it is missing");
+  EXPECT_TEXT("no_upstream", t.Choose("plain"), "no outage explains the missing record");
 }
 
 TEST(ExpiredRecords, DropsRecordSeenSinceStoreReturned) {
@@ -181,7 +180,7 @@
   t.PollAfterOutage({"u1"});
   t.now += 1000;
   t.Poll({});
-  EXPECT_TEXT("send u2", t.Choose("plain"), "it may have lapsed in the outage, u1 has not");
+  EXPECT_TEXT("send u2", t.Choose("plain"), "u2 may have expired in the outage, u1 did not");
   EXPECT_TEXT("all_tried", t.Choose("plain", std::nullopt, {"u2"}), "u1 has left");
 }
 
@@ -190,7 +189,7 @@
   t.Poll({"u1"});
   t.now += 2300;
   t.Poll({}, true);
-  EXPECT_TEXT("no_upstream", t.Choose("plain"), "records outlive two writes that do not come");
+  EXPECT_TEXT("no_upstream", t.Choose("plain"), "records survive two missed writes");
 }
 
 TEST(ExpiredRecords, KeepsMissingRecordThroughSecondOutage) {
@@ -201,7 +200,7 @@
   EXPECT_TEXT("send u1", t.Choose("plain"), "it had no time to come back");
   t.now += 2000;
   t.Poll({});
-  EXPECT_TEXT("no_upstream", t.Choose("plain"), "now it had");
+  EXPECT_TEXT("no_upstream", t.Choose("plain"), "it had time to come back");
 }
 
 TEST(ExpiredRecords, KeepsRecordsReceivedFromPeer) {
@@ -210,7 +209,7 @@
   record.service = "plain";
   t.table.ApplyListing(t.expired_records.Seed({record}), t.now);
   t.PollAfterOutage({});
-  EXPECT_TEXT("send u1", t.Choose("plain"), "the store was away as this entry started");
+  EXPECT_TEXT("send u1", t.Choose("plain"), "the store was unavailable when this entry started");
   t.now += 2000;
   t.Poll({});
   EXPECT_TEXT("no_upstream", t.Choose("plain"), "it would be back by now");
@@ -233,40 +232,40 @@
   EXPECT_TEXT("u2 leaving;", changes({MakeRecord("u1"), leaving}, false), "");
   t.now += 3000;
   EXPECT_TEXT("u1 missing;u2 missing;", changes({}, true), "");
-  EXPECT_TEXT("u1 listed;", changes({MakeRecord("u1")}, false), "it is back");
+  EXPECT_TEXT("u1 listed;", changes({MakeRecord("u1")}, false), "u1 is back");
   t.now += 2000;
-  EXPECT_TEXT("u2 gone;", changes({MakeRecord("u1")}, false), "it is not");
+  EXPECT_TEXT("u2 gone;", changes({MakeRecord("u1")}, false), "u2 is not back");
   EXPECT_TEXT("", changes({MakeRecord("u1")}, false), "");
 }
 
 TEST(UpstreamSelection, ReusesUpstreamRelistedDuringRequest) {
-  // Found by reading: a record that lapsed under a long stream and came back
-  // left its upstream unused for good.
+  // Guards against an upstream that stays unused for good after its record expired during
+  // a long stream and then came back.
   TableFixture t;
   auto record = MakeRecord("u1");
   record.service = "plain";
   t.table.ApplyListing({record}, t.now);
   t.table.OnSent("u1", std::nullopt, t.now);
   t.table.ApplyListing({}, t.now);
-  EXPECT_TEXT("no_upstream", t.Choose("plain"), "it is not listed");
+  EXPECT_TEXT("no_upstream", t.Choose("plain"), "not listed");
   t.table.ApplyListing({record}, t.now);
-  EXPECT_TEXT("send u1", t.Choose("plain"), "it is listed as ready again");
+  EXPECT_TEXT("send u1", t.Choose("plain"), "listed as ready again");
 }
 
 TEST(UpstreamSelection, PrefersAnsweringInstanceOverNewerRecord) {
-  // The last write of an instance that ended may land after its successor's.
+  // The last record write of an ended instance may arrive after its successor's first.
   TableFixture t;
   UpstreamRecord present = MakeRecord("u1");
   present.generation = 5;
   UpstreamRecord ended = MakeRecord("u2");
   ended.generation = 9;
   t.table.ApplyListing({present, ended}, t.now);
-  EXPECT_TEXT("send u2", t.Choose("engine"), "it seems to be the later one");
+  EXPECT_TEXT("send u2", t.Choose("engine"), "u2 has the newer record");
   t.table.OnInstanceReplaced("u2");
   t.table.ApplyListing({present, ended}, t.now);
-  EXPECT_TEXT("send u1", t.Choose("engine"), "it answered in u2's place");
+  EXPECT_TEXT("send u1", t.Choose("engine"), "another instance answered at u2's address");
   t.table.ApplyListing({present, ended}, t.now);
-  EXPECT_TEXT("send u1", t.Choose("engine"), "and not forgotten with the next listing");
+  EXPECT_TEXT("send u1", t.Choose("engine"), "still known after the next listing");
 }
 
 TEST(UpstreamSelection, EjectsFailedUpstreamUnlessItIsTheLast) {
@@ -277,10 +276,10 @@
   t.table.ApplyListing({a, b}, t.now);
   t.table.OnSent("u1", std::nullopt, t.now);
   t.table.OnAttemptEnd("u1", std::nullopt, AttemptOutcome::kUnreachable, t.now);
-  EXPECT_TEXT("send u2", t.Choose("plain"), "nobody listens at u1");
-  EXPECT_TEXT("all_tried", t.Choose("plain", std::nullopt, {"u2"}), "u1 is set aside");
+  EXPECT_TEXT("send u2", t.Choose("plain"), "u1 refuses connections");
+  EXPECT_TEXT("all_tried", t.Choose("plain", std::nullopt, {"u2"}), "u1 is ejected");
   t.table.ApplyListing({a}, t.now);
-  EXPECT_TEXT("send u1", t.Choose("plain"), "trying it is better than a refusal");
+  EXPECT_TEXT("send u1", t.Choose("plain"), "an ejected upstream is better than a refusal");
 }
 
 TEST(UpstreamSelection, AvoidsUnresponsiveUpstreamWithSilentAgent) {
@@ -291,17 +290,17 @@
   t.table.OnSent("u1", model, t.now);
   for (int n = 0; n < 40; ++n) t.table.OnSent("u2", model, t.now);
   for (int n = 0; n < 40; ++n) t.table.OnResponseData("u2", t.now);
-  EXPECT_TEXT("send u1", t.Choose("engine", model), "it has the fewest requests");
+  EXPECT_TEXT("send u1", t.Choose("engine", model), "u1 has the fewest requests");
   t.now += 1100;
-  EXPECT_TEXT("send u1", t.Choose("engine", model), "its agent was heard of lately");
+  EXPECT_TEXT("send u1", t.Choose("engine", model), "u1's view is recent");
   t.now += 1000;
   t.table.ApplyView(MakeView("u2", {{"a", {}}}), t.now);
-  EXPECT_TEXT("send u2", t.Choose("engine", model), "two seconds without a word of either");
+  EXPECT_TEXT("send u2", t.Choose("engine", model), "two seconds without data or a view");
   t.table.OnAttemptEnd("u1", model, AttemptOutcome::kCallerLeft, t.now);
-  EXPECT_TEXT("send u2", t.Choose("engine", model), "the caller's leaving does not clear it");
+  EXPECT_TEXT("send u2", t.Choose("engine", model), "a caller's disconnect does not clear it");
   t.now += 1100;
   t.table.ApplyView(MakeView("u1", {{"a", {}}}), t.now);
-  EXPECT_TEXT("send u1", t.Choose("engine", model, {"u2"}), "its agent is back");
+  EXPECT_TEXT("send u1", t.Choose("engine", model, {"u2"}), "u1's view is recent again");
 }
 
 TEST_GROUP(ColdModels){};
@@ -315,8 +314,8 @@
 }
 
 TEST(ColdModels, LimitsRequestsSentToNewlyLoadedModel) {
-  // after all engines had restarted, hundreds
-  // of requests from 28 entries went to the first that held the model.
+  // Guards against overload after a restart of all engines: hundreds of requests from 28
+  // entries went to the first engine that had loaded the model.
   TableFixture t;
   t.table.ApplyListing({MakeRecord("u1")}, t.now);
   EngineView view = MakeView("u1", {{"a", {}}});
@@ -327,10 +326,10 @@
     t.table.OnSent("u1", ModelRef{"a", ""}, t.now);
     ++sent;
   }
-  EXPECT_NUMBER(10, sent, "a tenth of one and a half times its 64 places");
+  EXPECT_NUMBER(10, sent, "a tenth of 1.5 times its 64 slots");
   EXPECT_TEXT("wait u1", t.Choose("engine", ModelRef{"a", ""}), "until the next view");
   t.table.ApplyView(view, t.now);
-  EXPECT_TEXT("send u1", t.Choose("engine", ModelRef{"a", ""}), "which shows free places");
+  EXPECT_TEXT("send u1", t.Choose("engine", ModelRef{"a", ""}), "the view shows free slots");
 }
 
 TEST(ColdModels, PrefersViewOverRecord) {
@@ -338,15 +337,17 @@
   UpstreamRecord first = MakeRecord("u1");
   first.loaded = {{"a", {}}};
   it.table.ApplyListing({first, MakeRecord("u2")}, it.now);
-  EXPECT_TEXT("send u1", it.Choose("engine", ModelRef{"a", {}}), "by its record");
+  EXPECT_TEXT("send u1", it.Choose("engine", ModelRef{"a", {}}), "according to its record");
   it.table.ApplyView(MakeView("u1", {{"b", {}}}), it.now);
   it.table.ApplyView(MakeView("u2", {{"a", {}}}), it.now);
-  EXPECT_TEXT("send u2", it.Choose("engine", ModelRef{"a", {}}), "a view goes before a record");
+  EXPECT_TEXT("send u2", it.Choose("engine", ModelRef{"a", {}}),
+              "a view takes precedence over a record");
   EXPECT_TEXT("send u1", it.Choose("engine", ModelRef{"b", {}}), "");
   it.table.ForgetView("u1");
-  EXPECT_TEXT("send u1", it.Choose("engine", ModelRef{"a", {}}, {"u2"}), "its record again");
+  EXPECT_TEXT("send u1", it.Choose("engine", ModelRef{"a", {}}, {"u2"}),
+              "its record applies again");
   it.table.ApplyListing({MakeRecord("u2")}, it.now);
-  EXPECT_TEXT("all_tried", it.Choose("engine", ModelRef{"a", {}}, {"u2"}), "u1 has gone");
+  EXPECT_TEXT("all_tried", it.Choose("engine", ModelRef{"a", {}}, {"u2"}), "u1 is gone");
   EXPECT_TEXT("send u2", it.Choose("engine", ModelRef{"a", {}}), "");
 }
 
@@ -355,8 +356,8 @@
   t.table.ApplyListing({MakeRecord("u1"), MakeRecord("u2")}, t.now);
   t.table.ApplyView(MakeView("u1"), t.now);
   t.table.ApplyView(MakeView("u2", {}, {"a"}), t.now);
-  EXPECT_TEXT("wait u2", t.Choose("engine", ModelRef{"a", ""}), "on its disk");
-  EXPECT_TRUE(t.estimate_ms < 2000, "from disk, not from the store");
+  EXPECT_TEXT("wait u2", t.Choose("engine", ModelRef{"a", ""}), "weights are on its disk");
+  EXPECT_TRUE(t.estimate_ms < 2000, "expected a load from disk, not from the store");
 }
 
 TEST(ColdModels, LoadsElsewhereWhenNearestEngineIsBusy) {
@@ -367,30 +368,31 @@
   busy.loading = "b";
   busy.load_remaining_ms = 20000;
   t.table.ApplyView(busy, t.now);
-  EXPECT_TEXT("wait u1", t.Choose("engine", ModelRef{"a", ""}), "six seconds beat twenty");
+  EXPECT_TEXT("wait u1", t.Choose("engine", ModelRef{"a", ""}), "6 s is less than 20 s");
 }
 
 TEST(ColdModels, LoadsElsewhereWhenAgentIsOverdue) {
-  // an agent ordered from an engine that had been replaced
-  // for two seconds, and a busy model's requests went on asking it for eight.
+  // Guards against an agent that cannot complete a load: one sent orders to an already
+  // replaced engine for two seconds, and a busy model's requests kept asking that agent
+  // for eight.
   TableFixture t;
   t.table.ApplyListing({MakeRecord("u1"), MakeRecord("u2")}, t.now);
   t.table.ApplyView(MakeView("u1", {}, {"a"}), t.now);
   t.table.ApplyView(MakeView("u2"), t.now);
-  EXPECT_TEXT("wait u1", t.Choose("engine", ModelRef{"a", ""}), "on its disk");
+  EXPECT_TEXT("wait u1", t.Choose("engine", ModelRef{"a", ""}), "weights are on its disk");
   for (int n = 0; n < 12; ++n) {
     t.now += 200;
     t.table.ApplyView(MakeView("u1", {}, {"a"}), t.now);
     t.table.ApplyView(MakeView("u2"), t.now);
     t.Choose("engine", ModelRef{"a", ""});
   }
-  EXPECT_TEXT("wait u2", t.Choose("engine", ModelRef{"a", ""}), "2.4 s in place of 1 s");
+  EXPECT_TEXT("wait u2", t.Choose("engine", ModelRef{"a", ""}), "u1 took 2.4 s instead of 1 s");
   t.now += 200;
-  EXPECT_TEXT("wait u2", t.Choose("engine", ModelRef{"a", ""}), "and not back at once");
+  EXPECT_TEXT("wait u2", t.Choose("engine", ModelRef{"a", ""}), "u1 stays avoided");
 }
 
 TEST(ColdModels, AdapterLoadWaitsForCurrentOrder) {
-  // Engines load no adapter while an order on a model is under way.
+  // Engines do not load adapters while an order for a model is in progress.
   TableFixture t;
   t.table.ApplyListing({MakeRecord("u1")}, t.now);
   EngineView view = MakeView("u1", {{"a", {}}});
@@ -418,15 +420,15 @@
     }
     return n;
   };
-  EXPECT_NUMBER(1, wanted(8), "one more, at one of the others");
-  // half of all loads were replicas of rare models, since
-  // each of 28 entries took one request for its part of six a second.
-  EXPECT_NUMBER(0, wanted(0.2), "the agent says that all entries together see one in five seconds");
+  EXPECT_NUMBER(1, wanted(8), "one more replica, at one of the others");
+  // Guards against replicas of rarely used models: half of all loads were such replicas,
+  // because each of 28 entries took one request for its share of six a second.
+  EXPECT_NUMBER(0, wanted(0.2), "all entries together see one request in five seconds");
 }
 
 TEST(ColdModels, EstimatesRateSoonAfterStart) {
-  // after a restart of all entries busy models got their
-  // replicas seconds late, as their rates grew from nothing.
+  // Guards against late replicas after a restart of all entries: rates started from zero,
+  // and busy models got their replicas seconds late.
   TableFixture t;
   t.table.ApplyListing({MakeRecord("u1")}, t.now);
   t.table.ApplyView(MakeView("u1", {{"a", {}}}), t.now);
@@ -436,7 +438,8 @@
   }
   const auto demands = t.table.BuildDemands({}, t.now);
   const double per_s = demands.at("u1").use.at(0).requests_per_s;
-  EXPECT_TRUE(per_s > 8 && per_s < 12, "ten a second for 1.5 s, got " + std::to_string(per_s));
+  EXPECT_TRUE(per_s > 8 && per_s < 12,
+              "expected about 10 requests a second after 1.5 s, got " + std::to_string(per_s));
 }
 
 TEST(ColdModels, AddsReplicaWhenMoreThanFivePercentAreLate) {
@@ -457,14 +460,15 @@
     }
     return -1.0;
   };
-  EXPECT_TRUE(callers_late(60) < 0, "exp(-300 / 60) of them are late, 7 in 1,000: two are enough");
+  EXPECT_TRUE(callers_late(60) < 0,
+              "exp(-300 / 60), 7 in 1,000, are late: two replicas are enough");
   const double late = callers_late(150);
   EXPECT_TRUE(late > 0.4 && late < 0.41,
-              "20 a second, 150 ms, exp(-2) of them late: 0.406, got " + std::to_string(late));
+              "expected 20 a second * 150 ms * exp(-2) = 0.406, got " + std::to_string(late));
 }
 
 TEST(ColdModels, AddsReplicaFromDiskDuringStoreLoad) {
-  // A load from the store takes 6 s; for so long one engine had all requests.
+  // Guards against one engine serving all requests for the 6 s of a load from the store.
   TableFixture t;
   t.table.ApplyListing({MakeRecord("u1"), MakeRecord("u2"), MakeRecord("u3")}, t.now);
   EngineView holder = MakeView("u1", {{"a", {}}});
@@ -481,9 +485,9 @@
     const auto demands = t.table.BuildDemands({}, t.now);
     return demands.at("u3").wanted.size();
   };
-  EXPECT_NUMBER(0, wanted(false, 600), "the second one is up soon");
-  EXPECT_NUMBER(1, wanted(true, 5500), "not from the store");
-  EXPECT_NUMBER(0, wanted(true, 900), "unless most of the time has passed");
+  EXPECT_NUMBER(0, wanted(false, 600), "the second replica is ready soon");
+  EXPECT_NUMBER(1, wanted(true, 5500), "a load from the store takes too long");
+  EXPECT_NUMBER(0, wanted(true, 900), "the load from the store is almost done");
 }
 
 TEST(ColdModels, LoadsWhereEvictionCostsLeast) {
@@ -492,8 +496,8 @@
   EngineSpec spec = MakeSpec();
   spec.accelerator_mb = 160;  // Of which two models take 144.
   t.table.ApplyServices({{"engine", 100, spec}});
-  // Both have the weights on disk; what u2 would close is busy, and u1 has an
-  // order under way.
+  // Both have the weights on disk; the models that u2 would evict are busy, and u1 has an
+  // order in progress.
   const auto show = [&t](const char* instance, double cost, DurationMs load_remaining_ms) {
     EngineView view = MakeView(instance, {{"b", {}}, {"c", {}}}, {"a"});
     view.eviction_cost_ms = {{"b", cost}, {"c", cost}};
@@ -504,33 +508,34 @@
   show("u1", 100, 900);
   show("u2", 4000, 0);
   EXPECT_TEXT("wait u1", t.Choose("engine", ModelRef{"a", ""}),
-              "0.9 s later, for 3.9 s less of others");
+              "0.9 s slower, but costs others 3.9 s less");
 }
 
 TEST(ColdModels, LoadsFromStoreOnLeastContendedEngine) {
-  // A load from the store keeps its engine from all other orders for 6 s. Where
-  // three engines of six were lost, a third of the others' time went that way,
-  // while fresh engines with empty disks had nothing to do.
+  // Guards against blocking a busy engine: a load from the store blocks all other orders of
+  // its engine for 6 s. After three of six engines were lost, the others spent a third of
+  // their time on such loads while new engines with empty disks were idle.
   TableFixture t;
   t.table.ApplyListing({MakeRecord("u1"), MakeRecord("u2")}, t.now);
   EngineView busy = MakeView("u1");
   busy.model_waits_per_s = 1;
   t.table.ApplyView(busy, t.now);
   EngineView fresh = MakeView("u2");
-  fresh.loading = "b";  // Half a second later there.
+  fresh.loading = "b";  // Half a second slower there.
   fresh.load_remaining_ms = 500;
   t.table.ApplyView(fresh, t.now);
   EXPECT_TEXT("wait u2", t.Choose("engine", ModelRef{"a", ""}),
-              "at u1 six models would begin to wait, 3 s each");
+              "at u1 six models would start to wait, 3 s each");
   EngineView near = MakeView("u1", {}, {"a"});
   near.model_waits_per_s = 1;
   t.table.ApplyView(near, t.now);
-  EXPECT_TEXT("wait u1", t.Choose("engine", ModelRef{"a", ""}), "from its disk in 0.8 s");
+  EXPECT_TEXT("wait u1", t.Choose("engine", ModelRef{"a", ""}), "0.8 s from its disk");
 }
 
 TEST(ColdModels, KeepsReplicaTargetUntilLoaded) {
-  // An engine that makes room for it looks busier than the others meanwhile. Two
-  // of a busy model's replicas were closed for a third that was never loaded.
+  // Guards against changing the target during an eviction: an engine that evicts a model for
+  // the replica looks busier than the others meanwhile. Two replicas of a busy model were
+  // evicted for a third that was never loaded.
   TableFixture t;
   t.table.ApplyListing({MakeRecord("u1"), MakeRecord("u2"), MakeRecord("u3"), MakeRecord("u4")},
                        t.now);
@@ -552,7 +557,7 @@
   changing.load_remaining_ms = 400;
   t.now += 500;
   t.table.ApplyView(changing, t.now);
-  EXPECT_TEXT(first, place(), "it makes room");
+  EXPECT_TEXT(first, place(), "it is evicting a model");
   t.now += 1000;
   t.table.ApplyView(changing, t.now);
   for (const char* it : {"u1", "u2", "u3", "u4"}) {
@@ -561,12 +566,13 @@
   }
   t.now += 1100;
   t.table.ApplyView(changing, t.now);
-  EXPECT_TRUE(place() != first, "after 2.6 s another is asked, got " + place());
+  EXPECT_TRUE(place() != first, "expected another engine after 2.6 s, got " + place());
 }
 
 TEST(ColdModels, AddsReplicaBeforeEnginesAreFull) {
-  // A busy model's engines had 55 requests a second of room, and the 56th made all wait:
-  // a further replica from the weight store came half a minute later.
+  // Guards against adding a replica too late: a busy model's engines could serve 55 requests
+  // a second, the 56th made all of them wait, and a further replica from the weight store
+  // came half a minute later.
   TableFixture it;
   it.table.ApplyListing({MakeRecord("u1"), MakeRecord("u2"), MakeRecord("u3")}, it.now);
   const auto asks_with = [&it](int running) {
@@ -583,15 +589,15 @@
     it.table.OnArrival(ModelRef{"a", {}}, 1, 300, it.now);
     return !it.table.BuildDemands({}, it.now).at("u3").wanted.empty();
   };
-  EXPECT_TRUE(!asks_with(40), "five in eight of 64 places are taken, and nobody is late");
-  EXPECT_TRUE(asks_with(52), "four in five are");
+  EXPECT_TRUE(!asks_with(40), "five eighths of the slots are in use and no caller is late");
+  EXPECT_TRUE(asks_with(52), "four fifths of the slots are in use");
 }
 
 TEST_GROUP(SpareCopies){};
 
 namespace {
 
-// Two engines hold a busy model; a third is fresh.
+// Two engines have a busy model loaded; a third is new.
 struct FreshEngine : TableFixture {
   FreshEngine() : TableFixture(false, true) { List({"u1", "u2", "u3"}); }
 
@@ -606,7 +612,7 @@
       table.ApplyView(it == "u3" ? fresh : view, now);
     }
   }
-  // What the fresh engine is asked to keep from being nowhere, in requests a second.
+  // The rate of requests at risk for which the new engine is asked to load a copy.
   double AtRiskRequestsPerS() {
     const auto wanted = table.BuildDemands({}, now).at("u3").wanted;
     return wanted.empty() ? 0 : wanted.front().at_risk_requests_per_s;
@@ -619,15 +625,15 @@
 
 TEST(SpareCopies, RequestedFromIdleEngineWithFreeMemory) {
   FreshEngine t;
-  EXPECT_TRUE(t.AtRiskRequestsPerS() > 0, "two engines may both leave");
+  EXPECT_TRUE(t.AtRiskRequestsPerS() > 0, "both engines with the model may leave");
   t.fresh.loading = "b";
   t.List({"u1", "u2", "u3"});
-  EXPECT_TRUE(t.AtRiskRequestsPerS() == 0, "it has something to do");
+  EXPECT_TRUE(t.AtRiskRequestsPerS() == 0, "u3 is busy");
   t.fresh.loading.clear();
-  // Of 230 MB, two models and twenty adapters leave 66.
+  // Two models and twenty adapters leave 66 of 230 MB.
   t.fresh.loaded = {{"b", std::vector<std::string>(20, "x")}, {"c", {}}};
   t.List({"u1", "u2", "u3"});
-  EXPECT_TRUE(t.AtRiskRequestsPerS() == 0, "it has no room");
+  EXPECT_TRUE(t.AtRiskRequestsPerS() == 0, "u3 has no free memory");
 }
 
 TEST(SpareCopies, WorthMoreAsMoreEnginesLeave) {
@@ -636,11 +642,11 @@
   t.List({"u1", "u2", "u3", "u4", "u5"});
   t.List({"u1", "u3"});
   const double after = t.AtRiskRequestsPerS();
-  EXPECT_TRUE(after > 10 * before,
-              "expected ten times " + std::to_string(before) + ", got " + std::to_string(after));
+  EXPECT_TRUE(after > 10 * before, "expected more than ten times " + std::to_string(before) +
+                                       ", got " + std::to_string(after));
   t.now += 11000;
   t.List({"u1", "u3"});
-  EXPECT_TRUE(t.AtRiskRequestsPerS() < after, "that is long ago");
+  EXPECT_TRUE(t.AtRiskRequestsPerS() < after, "the departures are outside the window");
 }
 
 TEST(SpareCopies, NotRequestedForRarelyUsedModels) {
@@ -650,7 +656,7 @@
   t.table.ApplyView(view, t.now);
   view.instance = "u2";
   t.table.ApplyView(view, t.now);
-  EXPECT_TRUE(t.AtRiskRequestsPerS() == 0, "a load costs more than it is expected to save");
+  EXPECT_TRUE(t.AtRiskRequestsPerS() == 0, "a load would cost more than it saves");
 }
 
 TEST(ColdModels, SharesWeightStoreAmongAgents) {
@@ -660,8 +666,8 @@
   t.table.ApplyListing(listing, t.now);
   for (int n = 0; n < 8; ++n) {
     EngineView view = MakeView("u" + std::to_string(n));
-    // u0 loads from the store; u1 would stage; u2 asks for a busy model; u3 to u7
-    // for about as many requests each, u7 for longest.
+    // u0 loads from the store, u1 wants to stage, and u2 asks for a busy model; u3 to u7 ask
+    // for models with similar request rates, u7 for the longest time.
     view.is_loading_from_store = n == 0;
     if (n == 0) view.loading = "c";
     const double weight = n == 1 ? 0 : n == 2 ? 9 : n % 2 == 0 ? 1.1 : 1;
@@ -689,7 +695,7 @@
   }
   t.Choose("engine", ModelRef{"a", ""});
   EXPECT_TRUE(t.estimate_ms >= 12000,
-              "eighth in turn, expected 12 s or more, got " + std::to_string(t.estimate_ms));
+              "expected 12 s or more as the eighth load, got " + std::to_string(t.estimate_ms));
 }
 
 TEST(ColdModels, StagesModelsWithinStoreCapacity) {
--- a/test/support/routing_world.h
+++ b/test/support/routing_world.h
@@ -1,4 +1,4 @@
-// A table of upstreams before engines that hold models, without sockets.
+// Test fixture: an upstream table for engines with models, without sockets.
 #ifndef JUNCTIONRAIL_TEST_SUPPORT_ROUTING_WORLD_H_
 #define JUNCTIONRAIL_TEST_SUPPORT_ROUTING_WORLD_H_
 
@@ -32,9 +32,9 @@
   return view;
 }
 
-// An entry's table of upstreams, in model time.
+// An entry's upstream table, in simulated time.
 struct TableFixture {
-  // What is loaded ahead of requests is off but for its own tests.
+  // Staging and spare copies are disabled except in their own tests.
   explicit TableFixture(bool stages = false, bool spares = false) : table(Options(stages, spares)) {
     table.ApplyServices({{"engine", 100, MakeSpec()}, {"plain", 100, std::nullopt}});
   }
@@ -46,7 +46,7 @@
     return options;
   }
 
-  // The choice as "send u1", "wait u1" or the reason why there is none.
+  // Returns the choice as "send u1" or "wait u1", or the reason why there is none.
   std::string Choose(const std::string& service, std::optional<ModelRef> model = std::nullopt,
                      std::vector<std::string> tried = {}) {
     PickRequest request;
@@ -67,8 +67,8 @@
 
   UpstreamTable table;
   TimeMs now = 100000;
-  DurationMs estimate_ms = 0;     // Of the last choice, where it was to wait.
-  DurationMs retry_after_ms = 0;  // Of the last choice, where there was none.
+  DurationMs estimate_ms = 0;     // Of the last choice, if it was to wait.
+  DurationMs retry_after_ms = 0;  // Of the last choice, if there was none.
 };
 
 }  // namespace junctionrail::testing
--- a/test/upstream_notices_test.cc
+++ b/test/upstream_notices_test.cc
@@ -1,4 +1,4 @@
-// What upstreams say beside their answers, and what entries do about it, over real sockets.
+// Tests of limits, backoffs and leaving notices in upstream answers, over real sockets.
 #include <algorithm>
 #include <cstdlib>
 #include <deque>
@@ -31,15 +31,15 @@
          "Content-Length: 2\r\n\r\nok";
 }
 
-// It has not run the request.
+// A rejection that states that the request was not executed.
 std::string Rejection(const std::string& fields) {
   return "HTTP/1.1 503 Service Unavailable\r\nJunctionrail-Request-Id: r1\r\n"
          "Junctionrail-Not-Run: 1\r\n" +
          fields + "Content-Length: 0\r\n\r\n";
 }
 
-// Entries before the same upstreams, and an agent that counts what they may send to an
-// upstream with a limit.
+// Entries that share upstreams, and an agent that assigns shares of an upstream's limit
+// to them.
 class EntryCluster {
  public:
   explicit EntryCluster(int n) {
@@ -91,7 +91,7 @@
     }
   }
 
-  // A caller of entry `n` that need not be answered before the next one.
+  // Sends a request to entry `n` without waiting for the answer.
   void SendRequest(std::size_t n, const std::string& line = "GET /a/",
                    const std::string& fields = "") {
     callers.push_back(std::make_unique<TestCaller>(io, ports[n % ports.size()]));
@@ -126,7 +126,7 @@
 
 TEST_GROUP(UpstreamLimits){};
 
-// Guards against entries that send an upstream more than the limit that its answers name.
+// Guards against entries that together exceed the limit stated in an upstream's answers.
 TEST(UpstreamLimits, EnforcedAcrossAllEntries) {
   constexpr double kLimitPerS = 2;
   constexpr DurationMs kWindowMs = 4000;
@@ -140,7 +140,7 @@
   });
   world.AddUpstream("u2", [](const SeenRequest&, const Peer& peer) { peer->Write(OkResponse()); });
   world.AddQuotaGiver();
-  // Until each entry has been told.
+  // Until each entry knows the limit.
   constexpr int kFirstCalls = 64;
   for (std::size_t n = 0; n < kFirstCalls; ++n) {
     world.SendRequest(n);
@@ -156,14 +156,13 @@
   RunFor(world.io, 200);
   const std::size_t most = MaxInWindow(received_at, kWindowMs);
   EXPECT_TRUE(most <= kAllowed, "expected " + std::to_string(kAllowed) +
-                                    " requests in four seconds at most, got " +
-                                    std::to_string(most));
-  EXPECT_TRUE(!received_at.empty(), "what it allows is used");
+                                    " requests in 4 s at most, got " + std::to_string(most));
+  EXPECT_TRUE(!received_at.empty(), "the limit is used");
   EXPECT_NUMBER(kCalls + kFirstCalls, world.CountServed(),
-                "callers served, most by the upstream without a limit");
+                "callers served, most by the unlimited upstream");
 }
 
-// Guards against an upstream that is avoided for good once it has named a limit.
+// Guards against limiting an upstream for good once it has stated a limit.
 TEST(UpstreamLimits, ClearedByAnswerWithoutLimit) {
   EntryCluster world(1);
   bool is_in_need = true;
@@ -179,19 +178,20 @@
     RunUntil(world.io, [&] { return Holds(caller.received(), "\r\n\r\n"); });
     return caller.received();
   };
-  EXPECT_TRUE(Holds(call(), "200 OK"), "the first answer names the limit");
+  EXPECT_TRUE(Holds(call(), "200 OK"), "the first answer states the limit");
   const std::string refusal = call();
   EXPECT_TRUE(Holds(refusal, "503 ") && Holds(refusal, "\"ran\":\"no\""), refusal);
-  EXPECT_TRUE(Holds(refusal, "Retry-After"), "with the time at which it is served");
-  EXPECT_NUMBER(1, calls, "nothing is left of two a second so soon");
+  EXPECT_TRUE(Holds(refusal, "Retry-After"), "tells when to retry");
+  EXPECT_NUMBER(1, calls, "the limit of two a second is used up");
   is_in_need = false;
-  EXPECT_TRUE(RunUntil(world.io, [&] { return Holds(call(), "200 OK"); }), "its share came");
+  EXPECT_TRUE(RunUntil(world.io, [&] { return Holds(call(), "200 OK"); }),
+              "the entry received its share");
   const int before = calls;
   for (int n = 0; n < 8; ++n) call();
-  EXPECT_NUMBER(before + 8, calls, "it takes as many as come");
+  EXPECT_NUMBER(before + 8, calls, "no limit applies any more");
 }
 
-// Guards against an upstream that no entry sends to any more, as nobody counts its limit.
+// Guards against an upstream that gets no requests because no agent assigns its limit.
 TEST(UpstreamLimits, LeaveEachEntryAShareWithoutAgent) {
   EntryCluster world(1);
   std::vector<TimeMs> received_at;
@@ -211,10 +211,10 @@
 
 TEST_GROUP(UpstreamBackoff){};
 
-// Guards against an entry that goes on sending to an upstream which has asked it for a rest.
+// Guards against an entry that keeps sending to an upstream that requested a backoff.
 TEST(UpstreamBackoff, HonorsRequestedBackoff) {
   constexpr DurationMs kRestMs = 2000;
-  constexpr DurationMs kGraceMs = 500;  // What was under way when it asked.
+  constexpr DurationMs kGraceMs = 500;  // For requests in flight when it asked.
   constexpr std::size_t kAllowed = 2;
   EntryCluster world(1);
   TimeMs asked_at = 0;
@@ -236,11 +236,11 @@
   }
   RunFor(world.io, 200);
   EXPECT_TRUE(unasked <= kAllowed,
-              "expected two requests at most in its rest, got " + std::to_string(unasked));
+              "expected two requests at most during the backoff, got " + std::to_string(unasked));
   EXPECT_NUMBER(kCalls, world.CountServed(), "callers served by the other upstream");
 }
 
-// Guards against a request that is sent, or kept waiting, where the only upstream rests.
+// Guards against sending or holding a request while the only upstream is backing off.
 TEST(UpstreamBackoff, ReportsRetryAfterWithoutOtherUpstream) {
   EntryCluster world(1);
   int calls = 0;
@@ -251,18 +251,18 @@
   world.SendRequest(0);
   TestCaller& first = *world.callers.back();
   EXPECT_TRUE(RunUntil(world.io, [&] { return Holds(first.received(), "\"ran\":\"no\""); }),
-              "it is refused");
+              "refused without execution");
   EXPECT_TRUE(
       Holds(first.received(), "Retry-After: 30.0") || Holds(first.received(), "Retry-After: 29.9"),
       first.received());
   world.SendRequest(0);
   TestCaller& second = *world.callers.back();
   EXPECT_TRUE(RunUntil(world.io, [&] { return Holds(second.received(), "503 "); }),
-              "the next is refused at once");
-  EXPECT_NUMBER(1, calls, "and sent nowhere");
+              "the second request is refused at once");
+  EXPECT_NUMBER(1, calls, "requests that reached the upstream");
 }
 
-// Guards against a request that is given up though the one engine with its model only rests.
+// Guards against failing a request although the one engine with its model only backs off.
 TEST(UpstreamBackoff, RequestWaitsWhenModelIsNowhereElse) {
   constexpr DurationMs kRestMs = 500;
   EntryCluster world(1);
@@ -276,11 +276,12 @@
   TestCaller& caller = *world.callers.back();
   EXPECT_TRUE(RunUntil(world.io, [&] { return Holds(caller.received(), "200 OK"); }),
               caller.received());
-  EXPECT_NUMBER(2, received_at.size(), "it was sent again");
-  EXPECT_TRUE(received_at.at(1) - received_at.at(0) >= kRestMs, "after the rest");
+  EXPECT_NUMBER(2, received_at.size(), "attempts");
+  EXPECT_TRUE(received_at.at(1) - received_at.at(0) >= kRestMs,
+              "expected the retry after the backoff");
 }
 
-// Guards against requests that all go at once to an upstream whose rest is over.
+// Guards against sending all waiting requests at once when an upstream's backoff ends.
 TEST(UpstreamBackoff, ProbesWithOneRequestAfterBackoff) {
   constexpr int kCalls = 12;
   EntryCluster world(1);
@@ -294,14 +295,16 @@
     world.SendRequest(n, "POST /m/", "Junctionrail-Model: a\r\n");
   RunFor(world.io, 400);
   const std::size_t before = received_at.size();
-  EXPECT_TRUE(RunUntil(world.io, [&] { return received_at.size() > before; }), "the rest is over");
+  EXPECT_TRUE(RunUntil(world.io, [&] { return received_at.size() > before; }),
+              "expected a request after the backoff");
   RunFor(world.io, 100);
-  EXPECT_NUMBER(before + 1, received_at.size(), "requests, and another rest");
+  EXPECT_NUMBER(before + 1, received_at.size(), "requests before the next backoff");
 }
 
 TEST_GROUP(LeavingNotices){};
 
-// Guards against work for an upstream whose answers say that it leaves, while its record does not.
+// Guards against sending to an upstream whose answers announce that it is leaving before
+// its record does.
 TEST(LeavingNotices, StopsSendingAfterLeavingHeader) {
   EntryCluster world(1);
   int calls = 0;
@@ -318,10 +321,10 @@
   }
   RunFor(world.io, 200);
   EXPECT_NUMBER(kCalls, world.CountServed(), "callers served");
-  EXPECT_NUMBER(1, calls, "requests to the one that leaves");
+  EXPECT_NUMBER(1, calls, "requests to the leaving upstream");
 }
 
-// Guards against a notice of another upstream that has the address now.
+// Guards against attributing a notice to an upstream whose address now belongs to another.
 TEST(LeavingNotices, IgnoresHeaderFromReplacementInstance) {
   EntryCluster world(1);
   int calls = 0;
@@ -333,7 +336,7 @@
   });
   world.SendRequest(0);
   RunFor(world.io, 100);
-  EXPECT_TRUE(world.gateways[0]->upstreams().IsListed("u1"), "it has said nothing");
+  EXPECT_TRUE(world.gateways[0]->upstreams().IsListed("u1"), "u1 announced nothing");
 }
 
 }  // namespace junctionrail
