--- a/src/routing/weight_store.cc
+++ b/src/routing/weight_store.cc
@@ -136,7 +136,7 @@
 // copy if the engines that have them left. When all engines of a service are replaced one
 // by one, the new engines and the weight store would otherwise stay idle until the last
 // old engines leave. With nine engines replaced within 14 s, 3.2% of requests were refused
-// with spare copies and 8.4% without (four simulated days each).
+// with spare copies and 8.4% without (four days each).
 void UpstreamTable::AddSpareCopies(std::string_view service, const StagingSurvey& survey,
                                    std::map<std::string, AgentDemand>* demands, TimeMs now) const {
   const double smallest_mb = SmallestMb(services_.at(std::string(service)).engine->models);
