--- a/test/fleet_test.cc
+++ b/test/fleet_test.cc
@@ -161,9 +161,9 @@
 
 }  // namespace
 
-TEST_GROUP(FleetSimulation){};
+TEST_GROUP(FleetLoading){};
 
-TEST(FleetSimulation, LoadsFirstModelsAtStoreSpeedAfterTotalLoss) {
+TEST(FleetLoading, LoadsFirstModelsAtStoreSpeedAfterTotalLoss) {
   // Guards against overloading the weight store: after a power loss of all VMs, every engine
   // loaded from the store at once, and no model was ready for twenty seconds.
   Fleet fleet;
@@ -175,7 +175,7 @@
               "expected about four concurrent loads, got " + std::to_string(fleet.peak_loads()));
 }
 
-TEST(FleetSimulation, KeepsStoreBusyUntilAllModelsAreLoaded) {
+TEST(FleetLoading, KeepsStoreBusyUntilAllModelsAreLoaded) {
   Fleet fleet;
   const DurationMs at_best = kStoreLoadMs * kModels / static_cast<DurationMs>(kLoadsAtFullSpeed);
   for (DurationMs ms = 0; ms < at_best * 5 / 4; ms += kStepMs) fleet.Step();
