--- a/include/junctionrail/agent_core.h
+++ b/include/junctionrail/agent_core.h
@@ -1,6 +1,7 @@
-// The decisions of an agent, the only gate to its upstream: who is admitted,
-// who waits, what is loaded and unloaded, and what may not run twice. No I/O:
-// the caller hands in events and the time, and carries the commands out.
+// The decision logic of an agent, which controls all access to its upstream:
+// admission, queueing, loading and unloading of models, and at-most-once
+// execution. It performs no I/O: the caller passes in events and the current
+// time, and executes the returned commands.
 #ifndef JUNCTIONRAIL_AGENT_CORE_H_
 #define JUNCTIONRAIL_AGENT_CORE_H_
 
@@ -18,34 +19,34 @@
 
 namespace junctionrail {
 
-// Names one link from an entry; never reused by a process.
+// Identifies one link from an entry. A process never reuses an id.
 using LinkId = std::uint64_t;
 
 struct AgentOptions {
   std::string vm;
   UpstreamKind kind = UpstreamKind::kEngine;
   bool upstream_checks_fencing = false;
-  std::uint32_t max_concurrent = 16;  // Calls at the upstream, for each key.
+  std::uint32_t max_concurrent = 16;  // Calls in flight at the upstream, per key.
   std::uint32_t max_queue_requests = 1024;
   std::uint64_t max_queue_bytes = 64 << 20;
-  std::uint32_t max_loads = 1;                  // Load orders in flight.
-  std::uint32_t max_idempotency_rows = 100000;  // Rows of the at-most-once table.
+  std::uint32_t max_loads = 1;                  // Loads in flight.
+  std::uint32_t max_idempotency_rows = 100000;  // Rows of the idempotency table.
   std::uint64_t max_idempotency_bytes = 32 << 20;
   IdlePolicy idle_policy = WeightedCost{};
-  // What a load is assumed to take for each GB, by cache tier, until one has been
-  // measured. Rather low: a guess too high refuses callers who could be served,
-  // one too low is put right as soon as the load slips.
+  // Assumed load time per GB by cache tier, until a load from that tier has been
+  // measured. The values are low on purpose: an overestimate refuses callers that
+  // could be served, while an underestimate is corrected once the load is overdue.
   DurationMs load_ms_per_gb[3] = {20, 100, 400};
-  // How long an order given to an engine that ignores fencing may still take
-  // effect after its connection was lost.
+  // How long an operation may still take effect after its connection was lost, on
+  // an engine that ignores fencing tokens.
   DurationMs operation_lifetime_ms = 2000;
   DurationMs inventory_period_ms = 5000;
-  DurationMs clock_skew_ms = 5000;   // The most that callers' clocks may be off.
-  std::int64_t started_unix_ms = 0;  // Also the first part of fencing tokens.
+  DurationMs clock_skew_ms = 5000;   // Maximum clock skew of callers.
+  std::int64_t started_unix_ms = 0;  // Also the high bits of fencing tokens.
   std::size_t decision_records = 4096;
 };
 
-// One model as the engine's index gives it.
+// One model as listed by the engine's repository index.
 struct EngineModel {
   std::string key;
   ReplicaState state = ReplicaState::kAbsent;
@@ -54,23 +55,23 @@
   CacheTier tier = CacheTier::kRemote;
 };
 
-// How an order to the engine ended.
+// Outcome of an operation on the engine.
 enum class OperationOutcome { kDone, kRefused, kUnknown };
 
-// One upstream of this agent's service, from the platform's list.
+// One upstream of this agent's service, from the platform's VM list.
 struct ServicePeer {
   std::string vm;
   bool operator<(const ServicePeer& other) const { return vm < other.vm; }
 };
 
-// One slot that the key-value service records for this VM incarnation.
+// One replica slot that the key-value service records for this VM incarnation.
 struct HeldGrant {
   std::string key;
   std::uint32_t slot = 0;
   std::int64_t token = 0;
 };
 
-// The highest token the service has given out for a key.
+// The highest fencing token that the key-value service has issued for a key.
 struct SeenToken {
   std::string key;
   std::int64_t token = 0;
@@ -91,7 +92,7 @@
   std::uint32_t status = 0;
   std::string content_type;
 };
-// The upstream turned a call away and wants nothing more for so long.
+// The upstream rejected a call and asked for no further calls for `backoff_ms`.
 struct UpstreamBackoff {
   DurationMs backoff_ms = 0;
 };
@@ -104,10 +105,10 @@
 };
 struct UpstreamFailed {
   std::string id;
-  bool was_sent = true;  // False only when not one byte of the call left.
+  bool was_sent = true;  // False only when no byte of the call was sent.
   std::string reason;
 };
-// The engine's answer to QueryInventory number `asked`.
+// The engine's reply to the QueryInventory with the same `query_id`.
 struct InventoryArrived {
   std::uint64_t query_id = 0;
   std::vector<std::uint64_t> accelerators_mb;
@@ -128,7 +129,7 @@
   std::int64_t operation_id = 0;
   OperationOutcome outcome = OperationOutcome::kDone;
 };
-// What the key-value service held when this process started.
+// The grants in the key-value service when this process started.
 struct GrantsRead {
   std::vector<HeldGrant> held;
   std::vector<SeenToken> seen;
@@ -138,13 +139,13 @@
   std::int64_t token = 0;
   bool ok = false;
 };
-// The live upstreams of this agent's service, on every change of the list.
+// The live upstreams of this agent's service, sent on every change of the list.
 struct PeersChanged {
   std::vector<ServicePeer> peers;
   std::int64_t unix_ms = 0;
 };
-// A planned stop. A VM that leaves also unloads and frees its grants; a mere
-// restart of the process leaves both for the next process to find.
+// A planned stop. When the VM itself leaves, the agent also unloads its models and
+// frees its grants; a restart of the process keeps both for the next process.
 struct LeaveRequested {
   bool vm_leaves = false;
   std::string reason;
@@ -181,7 +182,7 @@
   std::string base;
   std::uint32_t accelerator = 0;
   std::uint64_t memory_mb = 0;
-  std::int64_t operation_id = 0;  // Fencing token of this order.
+  std::int64_t operation_id = 0;  // Also the fencing token of the operation.
 };
 struct UnloadModel {
   std::string key;
@@ -190,7 +191,7 @@
 struct QueryInventory {
   std::uint64_t query_id = 0;
 };
-// Makes a fencing engine refuse every older order.
+// Makes an engine that checks fencing tokens reject every older operation.
 struct FenceEngine {
   std::int64_t operation_id = 0;
 };
@@ -200,7 +201,7 @@
   std::int64_t token = 0;
 };
 struct ReadGrants {};
-// Nothing is left to finish; the process may exit.
+// All work is finished; the process may exit.
 struct Exit {};
 
 using Command = std::variant<SendFrame, Dispatch, CancelDispatch, LoadModel, UnloadModel,
@@ -208,8 +209,8 @@
 
 }  // namespace agent
 
-// Counters only grow. `received` equals the sum of the next four and what is
-// present, after every event.
+// Monotonic counters. After every event, `received` equals the sum of the next
+// four counters and the number of open requests.
 struct AgentCounters {
   std::uint64_t received = 0;
   std::uint64_t answered = 0;
@@ -229,7 +230,7 @@
   std::uint64_t refused_by_code[static_cast<std::size_t>(RefusalCode::kCount)] = {};
 };
 
-// What the agent would tell an operator about one replica.
+// The state of one replica, for operators.
 struct ReplicaStatus {
   std::string key;
   ReplicaState state = ReplicaState::kAbsent;
@@ -248,16 +249,17 @@
   ~AgentCore();
   AgentCore(AgentCore&&) noexcept;
 
-  // The first commands of a process: it asks before it orders anything.
+  // Emits the first commands of a process, which query the state of the engine. No
+  // operation starts before the reply.
   void Start(TimeMs now, std::vector<agent::Command>* commands);
 
-  // Handles one event. `now` never falls from call to call.
+  // Handles one event. `now` must not decrease between calls.
   void Handle(TimeMs now, agent::Event event, std::vector<agent::Command>* commands);
 
   const AgentCounters& counters() const;
   const DecisionLog& decisions() const;
   std::size_t open_requests() const;
-  bool IsReady() const;  // Whether it may give orders and admit calls.
+  bool IsReady() const;  // Whether it can admit calls.
   bool IsLeaving() const;
   std::vector<ReplicaStatus> Replicas() const;
 
--- a/include/junctionrail/decision_log.h
+++ b/include/junctionrail/decision_log.h
@@ -1,5 +1,5 @@
-// The bounded memory of decisions that `junctionrail why` reads: what was
-// decided, the inputs it saw, the candidates it rejected and why.
+// A bounded log of decisions, read by `junctionrail why`: each record holds the
+// decision, its inputs, and the rejected candidates with the reasons.
 #ifndef JUNCTIONRAIL_DECISION_LOG_H_
 #define JUNCTIONRAIL_DECISION_LOG_H_
 
@@ -13,37 +13,37 @@
 
 namespace junctionrail {
 
-// A candidate that was looked at and not taken.
+// A candidate that was considered and not chosen.
 struct RejectedCandidate {
   std::string vm;
   std::string reason;
 };
 
-// One decision. A subject that does not apply is empty.
+// One decision. Fields that do not apply are empty.
 struct DecisionRecord {
-  TimeMs at = 0;  // On the deciding process's own clock.
+  TimeMs at = 0;  // On the monotonic clock of the deciding process.
   std::string request;
   std::string key;
   std::string vm;
   std::string message;
-  std::string inputs;  // `name=value` pairs, for people.
+  std::string inputs;  // `name=value` pairs for human readers.
   std::vector<RejectedCandidate> rejected;
   std::uint64_t config_version = 0;
 };
 
-// A ring of records. Adding to a full ring evicts the oldest.
+// A ring buffer of records. Adding to a full buffer evicts the oldest record.
 class DecisionLog {
  public:
   explicit DecisionLog(std::size_t capacity);
 
   void Add(DecisionRecord record);
 
-  // Records whose request, key or VM is `subject`, oldest first. A request's
-  // attempts are named `<request>.<n>` and match the request too.
+  // Returns the records whose request, key or VM is `subject`, oldest first. A
+  // request also matches its attempts, which are named `<request>.<n>`.
   std::vector<DecisionRecord> RecordsAbout(std::string_view subject) const;
 
-  // How many records the ring has lost; an answer that finds nothing must say
-  // that the record may have been among them.
+  // Number of evicted records. A query that finds nothing must report that the
+  // record may have been evicted.
   std::uint64_t evicted() const { return evicted_; }
 
  private:
@@ -53,8 +53,9 @@
   std::uint64_t evicted_ = 0;
 };
 
-// The JSON array `why` travels as. `unix_offset_ms` turns the process's own
-// clock into Unix time, so that records of several processes can be ordered.
+// Encodes records as the JSON array that answers `why`. `unix_offset_ms` converts
+// the clock of the process to Unix time, so that records of several processes can
+// be ordered.
 std::string EncodeRecords(const std::vector<DecisionRecord>& records, std::string_view process,
                           std::int64_t unix_offset_ms);
 
--- a/include/junctionrail/entry_core.h
+++ b/include/junctionrail/entry_core.h
@@ -1,6 +1,6 @@
-// The decisions of an entry: which upstream a call goes to, when a call is
-// tried again, where a replica slot is placed, and what the caller is told. No
-// I/O: the caller hands in events and the time, and carries the commands out.
+// The decision logic of an entry: routing and retries of calls, placement of
+// replica slots, and responses to callers. It performs no I/O: the caller passes
+// in events and the current time, and executes the returned commands.
 #ifndef JUNCTIONRAIL_ENTRY_CORE_H_
 #define JUNCTIONRAIL_ENTRY_CORE_H_
 
@@ -23,22 +23,21 @@
   std::string vm;
   std::string data_hall;
   std::uint64_t seed = 1;
-  double retry_ratio = 0.2;  // Retries for each first attempt.
-  double retry_burst = 20;   // Most retries saved up.
+  double retry_ratio = 0.2;  // Retry tokens added per call.
+  double retry_burst = 20;   // Maximum number of retry tokens.
   std::uint32_t max_attempts = 4;
-  DurationMs placement_delay_ms = 10;   // Head start of the first entry to place a key.
-  DurationMs placement_jitter_ms = 40;  // Most that the others' turns are spread over.
-  DurationMs offer_timeout_ms = 100;    // An offer later than this is not waited for.
-  std::uint32_t offer_batch_size = 6;   // Upstreams asked at a time.
+  DurationMs placement_delay_ms = 10;   // Delay of every entry but the one ranked first.
+  DurationMs placement_jitter_ms = 40;  // Maximum random addition to that delay.
+  DurationMs offer_timeout_ms = 100;    // Time to wait for the offers of one batch.
+  std::uint32_t offer_batch_size = 6;   // Upstreams asked for an offer at the same time.
   std::uint32_t max_offer_batches = 4;
-  DurationMs slot_release_wait_ms = 1000;  // Waiting for a slot that is being given back.
-  DurationMs refusal_grace_ms = 50;        // For the agent's own word at the deadline.
-  DurationMs scale_up_wait_ms = 500;       // A queue longer than this asks for one more replica.
-  std::uint32_t ejection_threshold = 3;    // Failures in a row.
-  DurationMs base_ejection_ms = 1000;      // First ejection; doubles.
+  DurationMs slot_release_wait_ms = 1000;  // Time to wait for a slot that is being released.
+  DurationMs refusal_grace_ms = 50;  // Time after the deadline for the agent's own reply to arrive.
+  DurationMs scale_up_wait_ms = 500;     // A longer estimated wait adds a replica.
+  std::uint32_t ejection_threshold = 3;  // Consecutive failures.
+  DurationMs base_ejection_ms = 1000;    // First ejection; doubles with each further one.
   DurationMs max_ejection_ms = 60000;
-  std::uint64_t max_buffered_bytes = 4
-                                     << 20;  // Bytes of a whole answer held before it is passed on.
+  std::uint64_t max_buffered_bytes = 4 << 20;  // Response bytes buffered before they are forwarded.
   std::size_t decision_records = 8192;
 };
 
@@ -47,7 +46,7 @@
 // Events.
 struct CallArrived {
   std::string id;
-  std::string name;  // Of a model, an adapter or a service.
+  std::string name;  // Name of a model, adapter or service.
   bool is_service = false;
   std::string method;
   std::string path;
@@ -66,7 +65,8 @@
   std::string vm;
   Frame frame;
 };
-// The link to an agent failed to open (nothing was sent on it) or was lost.
+// The link to an agent was lost or, with `was_open` false, failed to open, so that
+// nothing was sent on it.
 struct LinkClosed {
   std::string vm;
   bool was_open = false;
@@ -80,8 +80,8 @@
 struct GrantChanged {
   GrantRecord record;
 };
-// The end of a WriteGrant or ReadGrant. Without a record the service did not
-// answer, and a write may or may not have taken effect.
+// Result of a WriteGrant or ReadGrant. With `is_known` false the key-value service
+// did not answer, and a write may or may not have taken effect.
 struct GrantOperationEnded {
   std::string key;
   bool is_written = false;
@@ -115,38 +115,40 @@
 struct EndResponse {
   std::string id;
 };
-// The whole answer at once.
+// Sends the complete response at once.
 struct SendResponse {
   std::string id;
   std::uint32_t status = 0;
   std::string content_type;
   std::string body;
 };
-// A refusal before the head went out.
+// Refuses a call whose response head has not been sent.
 struct SendRefusal {
   std::string id;
   Refusal refusal;
 };
-// A failure after it: the caller must see that the answer is not whole.
+// Fails a call whose response head has been sent: the caller must be able to see
+// that the response is incomplete.
 struct AbortResponse {
   std::string id;
   Refusal refusal;
 };
 struct WriteGrant {
-  GrantRecord record;  // Its revision is the one the write depends on.
+  GrantRecord record;  // The write succeeds only if the stored revision equals its revision.
 };
 struct ReadGrant {
   std::string key;
 };
-// Versions are missing between the configuration in force and the log.
+// Reads the whole configuration, because versions are missing between the current
+// one and the change received.
 struct ReadConfiguration {};
 
-// A call has ended, for the service-level counts. A call to a name that is not
-// declared is nobody's objective and has no such command.
+// Reports the end of a call for the service-level counts. Not emitted for a call to
+// an undeclared name, which no objective covers.
 struct CallEnded {
   std::string key;
   bool is_answered = false;
-  DurationMs first_byte_ms = 0;  // Until the upstream began to answer.
+  DurationMs first_byte_ms = 0;  // Time until the upstream began to respond.
   bool was_cold = false;         // It waited for a load.
   RefusalCode code = RefusalCode::kNoUpstream;
 };
@@ -157,8 +159,8 @@
 
 }  // namespace entry
 
-// Counters only grow. `received` equals the sum of the next four and what is
-// present, after every event.
+// Monotonic counters. After every event, `received` equals the sum of the next
+// four counters and the number of open calls.
 struct EntryCounters {
   std::uint64_t received = 0;
   std::uint64_t answered = 0;
@@ -178,7 +180,7 @@
   std::uint64_t refused_by_code[static_cast<std::size_t>(RefusalCode::kCount)] = {};
 };
 
-// What an entry knows of one upstream.
+// The state of one upstream as known to this entry.
 struct UpstreamStatus {
   VmInfo vm;
   bool is_ejected = false;
@@ -196,7 +198,7 @@
   ~EntryCore();
   EntryCore(EntryCore&&) noexcept;
 
-  // Handles one event. `now` never falls from call to call.
+  // Handles one event. `now` must not decrease between calls.
   void Handle(TimeMs now, entry::Event event, std::vector<entry::Command>* commands);
 
   const EntryCounters& counters() const;
@@ -205,7 +207,7 @@
   const VmList& vms() const;
   std::size_t open_calls() const;
   bool IsStopping() const;
-  std::uint32_t InFlight(std::string_view vm) const;  // Attempts at one upstream.
+  std::uint32_t InFlight(std::string_view vm) const;  // Attempts in flight at one upstream.
   std::vector<UpstreamStatus> Upstreams(TimeMs now) const;
   std::vector<GrantRecord> Grants() const;
 
--- a/include/junctionrail/idle_policy.h
+++ b/include/junctionrail/idle_policy.h
@@ -1,5 +1,5 @@
-// When an idle model gives its accelerator memory back. Each policy answers
-// one question: for how long may a replica stay idle before it is unloaded?
+// Policies that decide how long a replica may stay idle before it is unloaded and
+// its accelerator memory released.
 #ifndef JUNCTIONRAIL_IDLE_POLICY_H_
 #define JUNCTIONRAIL_IDLE_POLICY_H_
 
@@ -11,7 +11,7 @@
 
 namespace junctionrail {
 
-// Never unloads for idleness; only pressure does.
+// Never unloads an idle replica, except under memory pressure.
 struct KeepForever {};
 
 // Unloads after a fixed idle time.
@@ -19,7 +19,8 @@
   DurationMs ttl_ms = 60000;
 };
 
-// Weighs the expected cost of a cold start against the cost of holding.
+// Weighs the expected cost of a cold start against the cost of keeping the replica
+// loaded.
 struct WeightedCost {
   double cold_start_weight = 1.0;  // Cost of one second of cold start.
   double idle_weight = 0.01;       // Cost of one second of an idle replica.
@@ -28,10 +29,10 @@
 
 using IdlePolicy = std::variant<KeepForever, FixedTtl, WeightedCost>;
 
-// The idle gaps one replica has seen: the newest kMaxGaps of them.
+// The most recent kMaxGaps idle gaps of one replica.
 class ArrivalHistory {
  public:
-  // Records that the replica had been idle for `gap` when a call came.
+  // Records that the replica had been idle for `gap` when a call arrived.
   void AddGap(DurationMs gap);
   const std::vector<DurationMs>& gaps() const { return gaps_; }
 
@@ -43,8 +44,8 @@
 
 constexpr DurationMs kNeverUnload = -1;
 
-// The idle time after which a replica that takes `load_ms` to come back should
-// be unloaded, or kNeverUnload.
+// Returns the idle time after which to unload a replica that takes `load_ms` to
+// load again, or kNeverUnload.
 DurationMs IdleLimit(const IdlePolicy& policy, const ArrivalHistory& history, DurationMs load_ms);
 
 }  // namespace junctionrail
