--- a/src/core/agent_core.cc
+++ b/src/core/agent_core.cc
@@ -33,7 +33,7 @@
 }
 
 void AgentImpl::Handle(TimeMs now, agent::Event event, std::vector<agent::Command>* commands) {
-  CheckInvariant(now >= now_, "time never goes back");
+  CheckInvariant(now >= now_, "time never decreases");
   commands_ = commands;
   now_ = now;
   std::visit([this](auto& it) { On(std::move(it)); }, event);
--- a/src/core/agent_grants.cc
+++ b/src/core/agent_grants.cc
@@ -1,5 +1,5 @@
-// What an agent may hold: the grants entries present and the ones it gives
-// back, its offers to entries that place, leaving, and the tick.
+// Grants of an agent: accepting and releasing them, offers to entries that place a
+// slot, leaving, and the periodic tick.
 #include <algorithm>
 #include <utility>
 
@@ -16,9 +16,9 @@
 
 // ---- Grants ----------------------------------------------------------------
 
-// Takes a grant an entry presents. A token above every one known when this
-// process started, and above every one it gave back, was written since, and
-// only this process or the loss of the VM could have taken it back.
+// Accepts a grant that an entry presents. A token above all those known when this
+// process started and all those it released was written since then, and only this
+// process or the loss of the VM can have revoked it.
 bool AgentImpl::AcceptGrant(const GrantView& grant) {
   Replica& replica = FindOrAddReplica(grant.key);
   replica.base = grant.base;
@@ -58,12 +58,12 @@
   replica.grant = GrantState::kRetiring;
   replica.is_load_requested = false;
   RecordDecision(
-      {}, replica.key, "gives its slot back: " + std::string(reason),
+      {}, replica.key, "releases its slot: " + std::string(reason),
       "slot=" + std::to_string(replica.slot) + " token=" + std::to_string(replica.token));
   for (auto& [key, it] : replicas_) {
-    if (it.base == replica.key) Retire(it, "its base gives its slot back");
+    if (it.base == replica.key) Retire(it, "the slot of its base is released");
   }
-  RefuseAllQueued(replica, Refusal{RefusalCode::kNotGranted, "this upstream gives its slot back",
+  RefuseAllQueued(replica, Refusal{RefusalCode::kNotGranted, "this upstream is releasing its slot",
                                    Ran::kNo, kShortRetryMs});
   ContinueRetiring(replica);
 }
@@ -72,19 +72,19 @@
   last_config_version_ = std::max(last_config_version_, retire.config_version);
   const auto it = replicas_.find(retire.key);
   if (it == replicas_.end() || it->second.token != retire.token) return;
-  Retire(it->second, "the declared count fell");
+  Retire(it->second, "the declared number of replicas decreased");
 }
 
 void AgentImpl::ContinueRetiring(Replica& replica) {
   if (replica.grant != GrantState::kRetiring) return;
-  // Before the engine has said what it holds, and while an order of an earlier
-  // process may still land there, nothing is known to be absent.
+  // No model is known to be absent before the first inventory, nor while an
+  // operation of an earlier process may still take effect.
   if (!inventory_known_ || !engine_fenced_) return;
   const bool is_quiet =
       replica.running == 0 && replica.operation_id == 0 && !replica.is_outcome_unknown;
   if (!is_quiet) return;
   if (replica.state == ReplicaState::kLoaded) {
-    if (!HasAdapter(replica.key)) StartUnload(replica, "its slot is given back");
+    if (!HasAdapter(replica.key)) StartUnload(replica, "its slot is being released");
     return;
   }
   if (replica.state != ReplicaState::kAbsent) return;
@@ -100,7 +100,8 @@
   needs_reevaluation_ = true;
   replica.released_token = std::max(replica.released_token, event.token);
   if (replica.grant != GrantState::kFreeing || replica.token != event.token) return;
-  // While the service cannot confirm, the slot still counts; it is asked again.
+  // Until the key-value service confirms the release, the slot counts as held and
+  // the release is retried.
   replica.grant = event.ok ? GrantState::kNone : GrantState::kRetiring;
 }
 
@@ -154,12 +155,12 @@
     next_grants_read_at_ = now_ + kGrantsReadRetryMs;
     Emit(agent::ReadGrants{});
   }
-  // An answer that never comes must not stop the asking.
+  // A reply that never arrives must not stop the queries.
   if (query_in_flight_ && now_ >= queried_at_ + kInventoryTimeoutMs) query_in_flight_ = false;
   if (now_ >= next_query_at_) QueryEngine();
 }
 
-// ---- Asked by an entry that places -----------------------------------------
+// ---- Offers to entries that place a slot -----------------------------------
 
 void AgentImpl::OnFrame(LinkId link, const AskFrame& ask) {
   OfferFrame offer;
--- a/src/core/agent_impl.h
+++ b/src/core/agent_impl.h
@@ -1,8 +1,7 @@
-// The tables of an agent and the systems that run over them. The sources are
-// split by concern: agent_requests.cc (admission, queue, dispatch, answers),
-// agent_replicas.cc (loads, memory, idleness), agent_grants.cc (grants, offers,
-// leaving, the tick), agent_once.cc
-// (calls that may not run twice).
+// State and implementation of AgentCore. The sources are split by concern:
+// agent_requests.cc (admission, queue, dispatch, responses), agent_replicas.cc
+// (loads, memory, idle replicas), agent_grants.cc (grants, offers, leaving, tick),
+// agent_once.cc (at-most-once execution).
 #ifndef JUNCTIONRAIL_CORE_AGENT_IMPL_H_
 #define JUNCTIONRAIL_CORE_AGENT_IMPL_H_
 
@@ -20,7 +19,7 @@
 
 namespace junctionrail::internal {
 
-// Where a request stands. Only the last two have reached the upstream.
+// State of a request. In the last two states it has reached the upstream.
 enum class RequestState { kQueued, kDispatched, kAnswering };
 
 struct AgentRequest {
@@ -31,14 +30,14 @@
   TimeMs deadline_at = 0;
   TimeMs dispatched_at = 0;
   std::uint64_t next_sequence = 0;
-  bool was_cold = false;            // Its replica was not loaded when it came.
-  std::string idempotency_row_key;  // Row of the at-most-once table; empty when unkeyed.
-  // Set when nobody waits any more but the call may not be cut off: it runs on,
-  // and at its end counts as this.
+  bool was_cold = false;            // Its replica was not loaded when it arrived.
+  std::string idempotency_row_key;  // Row of the idempotency table; empty without a key.
+  // Set when nobody waits for the call any more but it must not be cancelled: the
+  // call runs to its end and then increments this counter.
   std::uint64_t AgentCounters::*abandoned_counter = nullptr;
 };
 
-// Orders the queue of one key: class, then deadline, then arrival.
+// Sort key in the queue of one key: priority, then deadline, then id.
 struct QueuePosition {
   Priority priority = Priority::kNormal;
   TimeMs deadline_at = 0;
@@ -49,37 +48,37 @@
 
 enum class GrantState { kNone, kHeld, kRetiring, kFreeing };
 
-// One key on this upstream: a model, an adapter, or the plain service.
+// The replica of one key on this upstream: a model, an adapter, or a plain service.
 struct Replica {
   std::string key;
   std::string base;
   std::uint64_t memory_mb = 0;
   GrantState grant = GrantState::kNone;
   std::uint32_t slot = 0;
-  std::int64_t token = 0;           // Of the grant.
-  std::int64_t released_token = 0;  // Never accept this grant or an older one.
+  std::int64_t token = 0;           // Fencing token of the grant.
+  std::int64_t released_token = 0;  // This grant and older ones are never accepted.
 
   ReplicaState state = ReplicaState::kAbsent;
-  std::int64_t operation_id = 0;    // Of the order in flight; 0 when none is.
-  bool is_outcome_unknown = false;  // The last order's outcome is not known.
+  std::int64_t operation_id = 0;    // Operation in flight, or 0.
+  bool is_outcome_unknown = false;  // Of the last operation.
   TimeMs outcome_unknown_since = 0;
-  bool is_load_requested = false;  // A call asked for it and it is not loaded yet.
+  bool is_load_requested = false;  // A call needs it and it is not loaded yet.
   TimeMs operation_started_at = 0;
   DurationMs expected_load_ms = 0;
-  CacheTier load_tier = CacheTier::kRemote;  // Of the load under way.
-  DurationMs measured_load_ms = 0;           // Of the last load; 0 before the first.
-  std::uint64_t last_stale_query = 0;        // Inventories up to this number are too old for it.
+  CacheTier load_tier = CacheTier::kRemote;  // Tier of the load in progress.
+  DurationMs measured_load_ms = 0;           // Smoothed; 0 before the first load.
+  std::uint64_t last_stale_query = 0;        // Inventories up to this query are outdated.
   CacheTier tier = CacheTier::kRemote;
 
   std::set<QueuePosition> queue;
   std::uint32_t running = 0;
-  TimeMs idle_since = 0;    // Start of the present idleness while loaded.
-  TimeMs last_work_at = 0;  // End of the last call; 0 before the first.
+  TimeMs idle_since = 0;    // Start of the current idle period while loaded.
+  TimeMs last_work_at = 0;  // End of the last call; 0 before the first call.
   DurationMs idle_limit_ms = kNeverUnload;
   ArrivalHistory history;
-  double service_ms = 0;         // Moving average; 0 before the first answer.
-  double head_ms = 0;            // The same from dispatch to the head of an answer,
-  double head_deviation_ms = 0;  // and how far it strays.
+  double service_ms = 0;         // Moving average; 0 before the first response.
+  double head_ms = 0;            // Moving average of the time to the response head,
+  double head_deviation_ms = 0;  // and its mean deviation.
 };
 
 class AgentImpl {
@@ -111,8 +110,9 @@
   void OnFrame(LinkId link, const RetireFrame& retire);
   void OnFrame(LinkId link, const WhyFrame& why);
   void OnFrame(LinkId link, const DrainFrame& drain);
+  // Ignores frames that only agents send, and hello.
   template <class OtherFrame>
-  void OnFrame(LinkId, const OtherFrame&) {}  // Frames only an agent sends, and hello.
+  void OnFrame(LinkId, const OtherFrame&) {}
   std::optional<Refusal> Admit(AgentRequest& request);
   std::optional<Refusal> AdmitToEngine(AgentRequest& request);
   std::optional<Refusal> CheckQueue(const AgentRequest& request, const Replica& replica);
@@ -209,9 +209,9 @@
   std::map<std::string, Replica, std::less<>> replicas_;
   std::map<std::string, std::int64_t, std::less<>> seen_tokens_;
   std::map<std::string, CacheTier, std::less<>> tiers_;
-  TimeMs backoff_until_ = 0;                        // The upstream wants no calls until then.
-  double load_ms_per_gb_[3];                        // By tier: assumed at first, then measured.
-  std::map<std::string, std::int64_t> lost_peers_;  // VM to the Unix time it left the list.
+  TimeMs backoff_until_ = 0;                        // The upstream asked for no calls until then.
+  double load_ms_per_gb_[3];                        // By tier: assumed until measured.
+  std::map<std::string, std::int64_t> lost_peers_;  // VM to the Unix time when it left the list.
   std::set<ServicePeer> peers_;
   std::vector<agent::Command>* commands_ = nullptr;
   TimeMs now_ = 0;
@@ -223,13 +223,13 @@
   std::uint64_t inventory_queries_ = 0;
   bool query_in_flight_ = false;
   TimeMs queried_at_ = 0;
-  bool needs_reevaluation_ = false;  // Something changed that loads or leaving depend on.
+  bool needs_reevaluation_ = false;  // Loads or leaving may have to proceed.
   TimeMs next_query_at_ = 0;
   TimeMs next_grants_read_at_ = 0;
-  bool inventory_known_ = false;  // An inventory has been taken since the start.
+  bool inventory_known_ = false;  // An inventory has arrived since the start.
   bool engine_reachable_ = false;
-  bool engine_fenced_ = false;  // No order of an earlier process can still land.
-  bool fence_done_ = false;     // The engine has taken this process's token.
+  bool engine_fenced_ = false;  // No operation of an earlier process can still take effect.
+  bool fence_done_ = false;     // The engine has accepted this process's token.
   std::uint64_t queries_before_fence_ = 0;
   bool grants_known_ = false;
   bool leaving_ = false;
--- a/src/core/agent_once.cc
+++ b/src/core/agent_once.cc
@@ -1,8 +1,9 @@
-// Calls that may not run twice. A key's home is the first of the service's
-// upstreams in rendezvous order; its agent keeps the key and the answer. An
-// agent that cannot know whether a key ran before it came, or at a home that
-// was lost, says that the outcome is unknown. A key that carries its own time
-// (UUID version 7, RFC 9562) and was made after that loss cannot have run.
+// At-most-once execution of calls with an idempotency key. The owner of a key is
+// the first upstream of the service in rendezvous order; its agent stores the key
+// and the response. If an agent cannot know whether the key was used before its own
+// start, or at an owner that was lost, it reports an unknown outcome. A key that
+// contains its creation time (UUID version 7, RFC 9562) and was created after the
+// loss or start cannot have been used before it.
 #include <algorithm>
 #include <utility>
 
@@ -62,17 +63,18 @@
       break;
     }
     if (created_after(lost->second)) continue;
-    return OutcomeUnknown("the key's home " + it.vm + " was lost; it may have run there",
+    return OutcomeUnknown("the key's owner " + it.vm + " was lost; the call may have run there",
                           lost->second + call.idempotency_window_ms - unix_ms_);
   }
   if (!is_owner) {
-    return Refusal{RefusalCode::kNoUpstream, "this upstream is not the key's home", Ran::kNo,
+    return Refusal{RefusalCode::kNoUpstream, "this upstream is not the key's owner", Ran::kNo,
                    kNotOwnerRetryMs};
   }
   const std::int64_t start_window_end = options_.started_unix_ms + call.idempotency_window_ms;
   if (unix_ms_ < start_window_end && !created_after(options_.started_unix_ms)) {
-    return OutcomeUnknown("this agent started within the key's window; the key may have run before",
-                          start_window_end - unix_ms_);
+    return OutcomeUnknown(
+        "this agent started within the key's window; the call may have run before",
+        start_window_end - unix_ms_);
   }
   return std::nullopt;
 }
@@ -85,15 +87,15 @@
   if (row != nullptr) {
     if (row->fingerprint != fingerprint) {
       return Refusal{RefusalCode::kKeyMismatch,
-                     "this idempotency key came before with another method, path or body", Ran::kNo,
-                     0};
+                     "this idempotency key was used before with another method, path or body",
+                     Ran::kNo, 0};
     }
     if (row->state == IdempotencyState::kRunning) {
       return Refusal{RefusalCode::kInProgress, "the first call with this key is still running",
                      Ran::kUnknown, kInProgressRetryMs};
     }
     if (row->state == IdempotencyState::kUnknown) {
-      return OutcomeUnknown("the first call with this key ended without a known answer", 0);
+      return OutcomeUnknown("the first call with this key ended with an unknown outcome", 0);
     }
     Replay(request, *row);
     *replayed = true;
@@ -103,7 +105,7 @@
   if (refusal) return refusal;
   if (idempotency_table_.Insert(row_key, fingerprint, now_ + call.idempotency_window_ms) ==
       nullptr) {
-    return Refusal{RefusalCode::kQueueFull, "the at-most-once table is full", Ran::kNo,
+    return Refusal{RefusalCode::kQueueFull, "the idempotency table is full", Ran::kNo,
                    kNotOwnerRetryMs};
   }
   request.idempotency_row_key = row_key;
--- a/src/core/agent_replicas.cc
+++ b/src/core/agent_replicas.cc
@@ -1,5 +1,5 @@
-// The replicas of an agent: what the engine holds, load and unload orders,
-// accelerator memory and idleness.
+// The replicas of an agent: inventory of the engine, loads and unloads, accelerator
+// memory and idle replicas.
 #include <algorithm>
 #include <utility>
 
@@ -11,10 +11,10 @@
 constexpr DurationMs kShortRetryMs = 200;
 constexpr DurationMs kLoadRetryMs = 1000;
 constexpr DurationMs kReadyWithoutGrantsMs = 3000;
-constexpr DurationMs kUnsettledQueryMs = 100;  // Between inventories while something is unsettled.
-constexpr DurationMs kFailedQueryRetryMs = 500;  // After an inventory that failed.
+constexpr DurationMs kUnsettledQueryMs = 100;    // Between queries while a state is unsettled.
+constexpr DurationMs kFailedQueryRetryMs = 500;  // After a failed query.
 constexpr double kMbPerGb = 1024;
-constexpr double kLoadRateSmoothing = 0.3;  // Of a tier's newest measurement.
+constexpr double kLoadRateSmoothing = 0.3;  // Weight of the newest measurement.
 constexpr int kOperationBits = 20;
 
 }  // namespace
@@ -25,8 +25,8 @@
   return replica;
 }
 
-// Orders carry fencing tokens that grow within a process and, as their first
-// part is the Unix time of its start, from one process to the next.
+// Operation ids serve as fencing tokens. They grow within a process and, because
+// their high bits are the Unix time of its start, from one process to the next.
 std::int64_t AgentImpl::NextOperationId() {
   return (options_.started_unix_ms << kOperationBits) + ++operations_;
 }
@@ -38,7 +38,7 @@
 bool AgentImpl::IsReady() const {
   if (leaving_) return false;
   if (options_.kind == UpstreamKind::kService) return true;
-  // In an outage of the key-value service it is ready for what is loaded.
+  // During an outage of the key-value service the agent can serve what is loaded.
   const bool has_waited = now_ >= started_at_ + kReadyWithoutGrantsMs;
   return inventory_known_ && engine_fenced_ && (grants_known_ || has_waited);
 }
@@ -52,7 +52,7 @@
   return all;
 }
 
-// ---- What the engine holds -------------------------------------------------
+// ---- Inventory of the engine -----------------------------------------------
 
 void AgentImpl::QueryEngine() {
   if (options_.kind != UpstreamKind::kEngine || query_in_flight_) return;
@@ -94,7 +94,7 @@
   next_query_at_ = now_ + (soon ? kUnsettledQueryMs : options_.inventory_period_ms);
 }
 
-// Whether an order of unknown outcome can no longer take effect.
+// Whether an operation of unknown outcome can no longer take effect.
 bool AgentImpl::IsOperationExpired(const Replica& replica) const {
   return queried_at_ >= replica.outcome_unknown_since + options_.operation_lifetime_ms;
 }
@@ -116,14 +116,14 @@
     ledger_.Adopt(found->accelerator, replica.key, found->memory_mb);
     replica.memory_mb = found->memory_mb;
     if (inventory_known_) ++counters_.inventory_mismatches;
-    RecordDecision({}, replica.key, "the engine holds it already; entered in the ledger");
+    RecordDecision({}, replica.key, "the engine already holds it; its memory is now accounted for");
   }
   if (found->state != ReplicaState::kLoaded) {
     if (replica.state == ReplicaState::kAbsent) replica.operation_started_at = now_;
     replica.state = found->state;
     return;
   }
-  // Loaded. After an unload of unknown outcome that order may still take effect.
+  // The model is loaded. An unload of unknown outcome may still take effect.
   const bool may_unload = replica.is_outcome_unknown && replica.state == ReplicaState::kUnloading;
   if (may_unload && !IsOperationExpired(replica)) return;
   replica.is_outcome_unknown = false;
@@ -134,10 +134,10 @@
   DispatchQueued(replica);
 }
 
-// Makes sure that no order of an earlier process can still land: an engine
-// that checks fencing tokens is told a newer one, for one that does not the
-// orders' lifetime is waited out. Either way only an inventory asked for after
-// that shows all that did land.
+// Ensures that no operation of an earlier process can still take effect: an engine
+// that checks fencing tokens is sent a newer one; for other engines the agent waits
+// for the lifetime of operations. In both cases only an inventory requested after
+// that shows every operation that took effect.
 void AgentImpl::UpdateFence(std::uint64_t query_id) {
   if (engine_fenced_) return;
   if (!options_.upstream_checks_fencing) {
@@ -182,9 +182,9 @@
   return it == tiers_.end() ? CacheTier::kRemote : it->second;
 }
 
-// What a load took says how fast its tier is, for models never loaded here. The
-// first measurement replaces the assumption: that is a guess, and one too high
-// refuses callers who could have been served.
+// Updates the load rate of a tier, which predicts the load time of models that were
+// never loaded here. The first measurement replaces the assumed rate, because an
+// assumption that is too high refuses callers that could be served.
 void AgentImpl::UpdateLoadRate(const Replica& replica, DurationMs took) {
   if (replica.memory_mb == 0) return;
   const auto tier = static_cast<std::size_t>(replica.load_tier);
@@ -207,13 +207,13 @@
   const DurationMs elapsed = now_ - replica.operation_started_at;
   const DurationMs expected = std::max(replica.expected_load_ms, ExpectedLoad(replica));
   if (elapsed < expected) return expected - elapsed;
-  // Past its estimate: it has slipped, and by how much grows with the wait.
+  // The load is overdue; the expected remainder grows with the time it has taken.
   return std::max<DurationMs>(1, elapsed / 4);
 }
 
-// Until a call with this place could be sent, as far as loads decide it. Loads
-// start by the most urgent call that waits for them, so only what is under way
-// and what is more urgent comes before.
+// Time until the replica is loaded for a call at this queue position. Loads start
+// in the order of the most urgent call that waits for each, so only loads in
+// progress and more urgent ones come first.
 DurationMs AgentImpl::TimeUntilReady(const Replica& replica, const QueuePosition& position) const {
   if (replica.state == ReplicaState::kLoaded) return 0;
   DurationMs base_ready = 0;
@@ -243,7 +243,8 @@
   return QueuePosition{request.call.priority, request.deadline_at, request.call.id};
 }
 
-// The place by which a replica would be loaded if this request waited for it.
+// The queue position that would decide when the replica is loaded if this request
+// waited for it.
 QueuePosition AgentImpl::LoadPosition(const Replica& replica, const AgentRequest& request) {
   return std::min(PositionOf(request), MostUrgent(replica));
 }
@@ -259,7 +260,7 @@
   return QueuePosition{Priority::kLow, INT64_MAX, replica.key};
 }
 
-// Starts the loads that calls wait for, the most urgent first.
+// Starts the requested loads, the most urgent first.
 void AgentImpl::StartLoads() {
   if (!CanStartOperations()) return;
   std::vector<Replica*> wanted;
@@ -284,7 +285,7 @@
   } else {
     const Replica& base = FindOrAddReplica(replica.base);
     if (base.state != ReplicaState::kLoaded) {
-      if (base.grant == GrantState::kHeld) return;  // The base is on its way.
+      if (base.grant == GrantState::kHeld) return;  // The base will be loaded first.
       return AbandonLoad(
           replica, Refusal{RefusalCode::kNotGranted, "this upstream holds no grant for the base",
                            Ran::kNo, kShortRetryMs});
@@ -294,9 +295,10 @@
   }
   if (!accelerator) {
     if (EvictToFit(replica)) return;
-    AbandonLoad(replica, Refusal{RefusalCode::kNoMemory,
-                                 "no accelerator has room and nothing idle can make it", Ran::kNo,
-                                 kShortRetryMs});
+    AbandonLoad(replica,
+                Refusal{RefusalCode::kNoMemory,
+                        "no accelerator has enough memory, even after unloading idle models",
+                        Ran::kNo, kShortRetryMs});
     return;
   }
   CheckInvariant(replica.grant == GrantState::kHeld, "nothing is loaded without a grant");
@@ -357,10 +359,10 @@
 void AgentImpl::AbandonLoad(Replica& replica, const Refusal& refusal) {
   replica.is_load_requested = false;
   RefuseAllQueued(replica, refusal);
-  if (refusal.code == RefusalCode::kNoMemory) Retire(replica, "it does not fit here");
+  if (refusal.code == RefusalCode::kNoMemory) Retire(replica, "it does not fit on this upstream");
 }
 
-// ---- Room and idleness -----------------------------------------------------
+// ---- Memory and idle replicas ----------------------------------------------
 
 bool AgentImpl::HasAdapter(const std::string& key) const {
   return std::any_of(replicas_.begin(), replicas_.end(), [&key](const auto& it) {
@@ -375,7 +377,7 @@
          replica.operation_id == 0 && !replica.is_outcome_unknown && !replica.is_load_requested;
 }
 
-// Idle, and so is every adapter upon it.
+// Whether the replica and all its adapters are idle.
 bool AgentImpl::IsEvictable(const Replica& replica) const {
   if (!IsIdle(replica)) return false;
   return std::all_of(replicas_.begin(), replicas_.end(), [&](const auto& it) {
@@ -385,7 +387,7 @@
   });
 }
 
-// Free memory, and what idle or leaving replicas would give back.
+// Free memory plus the memory that idle or unloading replicas would release.
 std::uint64_t AgentImpl::AvailableOn(std::uint32_t accelerator) const {
   std::uint64_t room = ledger_.FreeOn(accelerator);
   for (const auto& [key, it] : replicas_) {
@@ -399,7 +401,7 @@
 bool AgentImpl::CouldFit(std::uint64_t memory_mb, const std::string& base) const {
   const auto home = ledger_.AcceleratorOf(base);
   if (!base.empty() && home) {
-    // The base itself cannot make room for its own adapter.
+    // Unloading the base cannot free memory for its own adapter.
     const auto it = replicas_.find(base);
     const std::uint64_t own =
         it != replicas_.end() && IsEvictable(it->second) ? ledger_.MemoryOf(base) : 0;
@@ -415,8 +417,8 @@
   return CouldFit(replica.memory_mb, replica.base);
 }
 
-// Unloads idle replicas, the longest idle first, until the wanted one will fit.
-// False when that can never be enough.
+// Unloads idle replicas, the longest idle first, until `wanted` will fit. Returns
+// false if that cannot free enough memory.
 bool AgentImpl::EvictToFit(const Replica& wanted) {
   if (!CouldFit(wanted)) return false;
   const auto home = ledger_.AcceleratorOf(wanted.base);
@@ -442,18 +444,18 @@
   return true;
 }
 
-// A base goes only after its adapters; the base's own turn then comes again.
+// Unloads a replica, or first its adapters; the base is evicted by a later call.
 void AgentImpl::Evict(Replica& replica) {
   bool has_adapter = false;
   for (auto& [key, it] : replicas_) {
     if (it.base != replica.key || !IsIdle(it)) continue;
     has_adapter = true;
     ++counters_.unloads_pressure;
-    StartUnload(it, "room is needed");
+    StartUnload(it, "its memory is needed");
   }
   if (has_adapter || HasAdapter(replica.key)) return;
   ++counters_.unloads_pressure;
-  StartUnload(replica, "room is needed");
+  StartUnload(replica, "its memory is needed");
 }
 
 void AgentImpl::UnloadIdle() {
@@ -479,7 +481,7 @@
   replica.operation_id = NextOperationId();
   replica.operation_started_at = now_;
   replica.last_stale_query = inventory_queries_;
-  RecordDecision({}, replica.key, "unload ordered: " + std::string(reason));
+  RecordDecision({}, replica.key, "unload started: " + std::string(reason));
   Emit(agent::UnloadModel{replica.key, replica.operation_id});
 }
 
@@ -488,7 +490,8 @@
   if (replica.operation_id != event.operation_id) return;
   replica.last_stale_query = inventory_queries_;
   needs_reevaluation_ = true;
-  // A refusal says nothing of what the engine holds, so it is asked.
+  // A refusal does not tell whether the model is still loaded, so the state is
+  // unknown until the next inventory.
   if (event.outcome != OperationOutcome::kDone) return MarkOutcomeUnknown(replica);
   ++counters_.unloads_completed;
   MarkAbsent(replica);
--- a/src/core/agent_requests.cc
+++ b/src/core/agent_requests.cc
@@ -1,5 +1,5 @@
-// The requests of an agent: admission, the queue of each key, dispatch, the
-// frames of an answer, and the conservation of requests.
+// The requests of an agent: admission, the queue of each key, dispatch, response
+// frames, and the check that no request is lost.
 #include <algorithm>
 #include <cmath>
 #include <iterator>
@@ -11,15 +11,15 @@
 namespace junctionrail::internal {
 namespace {
 
-constexpr double kInitialServiceMs = 200;  // Assumed until the first answer.
+constexpr double kInitialServiceMs = 200;  // Assumed until the first response.
 constexpr double kServiceSmoothing = 0.2;  // Weight of the newest service time.
 constexpr DurationMs kShortRetryMs = 200;
 constexpr double kUsPerMs = 1000;
 constexpr DurationMs kLeavingRetryMs = 100;
 
-// How long before its deadline a call must be sent, so that its answer most
-// likely begins in time: the mean and twice the deviation, as TCP does for its
-// retransmission timer (RFC 6298). Nothing while no answer has begun yet.
+// How long before its deadline a call must be sent for its response to begin in
+// time in most cases: the mean plus twice the deviation, similar to the TCP
+// retransmission timer (RFC 6298). 0 until a response has begun.
 DurationMs ExpectedHeadMs(const Replica& replica) {
   return static_cast<DurationMs>(replica.head_ms + 2 * replica.head_deviation_ms);
 }
@@ -42,7 +42,7 @@
 }  // namespace
 
 bool QueuePosition::operator<(const QueuePosition& other) const {
-  // A higher class sorts first.
+  // A higher priority sorts first.
   return std::tie(other.priority, deadline_at, id) <
          std::tie(priority, other.deadline_at, other.id);
 }
@@ -52,7 +52,7 @@
 }
 
 void AgentImpl::OnFrame(LinkId link, CallFrame call) {
-  if (requests_.count(call.id) > 0) return;  // An id names one attempt; a copy adds nothing.
+  if (requests_.count(call.id) > 0) return;  // An id identifies one attempt; ignore duplicates.
   ++counters_.received;
   last_config_version_ = std::max(last_config_version_, call.config_version);
   AgentRequest request;
@@ -73,10 +73,10 @@
   if (call.deadline_ms <= 0) {
     return Refusal{RefusalCode::kDeadlinePassed, "the deadline had passed on arrival", Ran::kNo, 0};
   }
-  // Its entry finds another upstream sooner than the rest ends.
+  // The entry can find another upstream before the backoff ends.
   if (backoff_until_ > now_) {
-    return Refusal{RefusalCode::kQueueFull, "the upstream asks for a rest", Ran::kNo,
-                   backoff_until_ - now_};
+    return Refusal{RefusalCode::kQueueFull, "the upstream asked for no further calls for a while",
+                   Ran::kNo, backoff_until_ - now_};
   }
   if (options_.kind == UpstreamKind::kEngine) {
     const auto refusal = AdmitToEngine(request);
@@ -100,18 +100,18 @@
 std::optional<Refusal> AgentImpl::AdmitToEngine(AgentRequest& request) {
   const CallFrame& call = request.call;
   if (!inventory_known_) {
-    return Refusal{RefusalCode::kUpstreamUnreachable, "the engine has not said yet what it holds",
-                   Ran::kNo, kShortRetryMs};
+    return Refusal{RefusalCode::kUpstreamUnreachable,
+                   "the inventory of the engine is not known yet", Ran::kNo, kShortRetryMs};
   }
   for (const auto& it : call.grants) AcceptGrant(it);
   Replica& replica = FindOrAddReplica(call.key);
-  // What an earlier process loaded keeps its grant until this one unloads it,
-  // so it may be served even while the key-value service cannot be read.
+  // A model that an earlier process loaded keeps its grant until this process
+  // unloads it, so it can be served while the key-value service is unavailable.
   const bool may_serve = replica.grant == GrantState::kHeld ||
                          (!grants_known_ && replica.state == ReplicaState::kLoaded);
   if (!may_serve && !grants_known_) {
     return Refusal{RefusalCode::kGrantUnverified,
-                   "the key-value service cannot be asked whether this upstream may hold it",
+                   "the key-value service is unavailable, so the grant cannot be verified",
                    Ran::kNo, kShortRetryMs};
   }
   if (!may_serve) {
@@ -121,18 +121,19 @@
   RecordArrival(replica);
   if (replica.state == ReplicaState::kLoaded) return std::nullopt;
   if (!CanStartOperations()) {
-    return Refusal{RefusalCode::kUpstreamUnreachable, "the engine cannot be given orders now",
-                   Ran::kNo, kShortRetryMs};
+    return Refusal{RefusalCode::kUpstreamUnreachable,
+                   "the engine accepts no operations at the moment", Ran::kNo, kShortRetryMs};
   }
   if (replica.state == ReplicaState::kAbsent && !CouldFit(replica)) {
-    Refusal refusal{RefusalCode::kNoMemory, "no accelerator has room and nothing idle can make it",
-                    Ran::kNo, kShortRetryMs};
-    Retire(replica, "it does not fit here");
+    Refusal refusal{RefusalCode::kNoMemory,
+                    "no accelerator has enough memory, even after unloading idle models", Ran::kNo,
+                    kShortRetryMs};
+    Retire(replica, "it does not fit on this upstream");
     return refusal;
   }
   request.was_cold = true;
   const DurationMs ready = TimeUntilReady(replica, LoadPosition(replica, request));
-  // The load goes on even when this caller cannot wait: it is told when to come back.
+  // The load starts even if this call cannot wait: the refusal says when to retry.
   replica.is_load_requested = true;
   if (!replica.base.empty()) FindOrAddReplica(replica.base).is_load_requested = true;
   if (now_ + ready <= request.deadline_at) return std::nullopt;
@@ -146,7 +147,7 @@
   return QueueWaitBehind(replica, static_cast<std::size_t>(ahead));
 }
 
-// Until a call with so many before it in the queue would be sent.
+// Time until a call with `ahead` calls before it in the queue would be sent.
 DurationMs AgentImpl::QueueWaitBehind(const Replica& replica, std::size_t ahead) const {
   const double at_once = options_.max_concurrent;
   const double excess = static_cast<double>(ahead) + replica.running + 1 - at_once;
@@ -154,9 +155,10 @@
   return static_cast<DurationMs>(ServiceMs(replica) * excess / at_once);
 }
 
-// Tells those whose turn would come too late at once, rather than at their
-// deadline: higher classes may have come since they were admitted. Under load
-// this is also what keeps the upstream from answers nobody waits for.
+// Refuses queued calls that would be sent too late immediately, rather than at their
+// deadline: calls of higher priority may have arrived since they were admitted.
+// Under load this also keeps the upstream from producing responses that nobody
+// waits for.
 void AgentImpl::RefuseLateQueued(Replica& replica) {
   if (replica.state != ReplicaState::kLoaded || replica.queue.empty()) return;
   const DurationMs need = ExpectedHeadMs(replica);
@@ -172,9 +174,9 @@
   }
   const DurationMs retry_after = QueueWaitBehind(replica, kept);
   for (const auto& id : too_late) {
-    RefuseQueuedRequest(
-        id, Refusal{RefusalCode::kQueueTooLate, "calls before it would keep it past the deadline",
-                    Ran::kNo, std::max(retry_after, kShortRetryMs)});
+    RefuseQueuedRequest(id, Refusal{RefusalCode::kQueueTooLate,
+                                    "the calls before it would delay it past the deadline",
+                                    Ran::kNo, std::max(retry_after, kShortRetryMs)});
   }
 }
 
@@ -184,8 +186,8 @@
                                ? TimeUntilReady(replica, LoadPosition(replica, request))
                                : 0;
   const DurationMs wait = ready + QueueWait(replica, call.priority, request.deadline_at);
-  // With a place free it is sent whatever the estimate: it keeps nobody out,
-  // and an estimate that was wrong would otherwise never be corrected.
+  // With a free place the call is sent whatever the estimate: it delays no other
+  // call, and a wrong estimate would otherwise never be corrected.
   const DurationMs need = wait > ready ? ExpectedHeadMs(replica) : 0;
   if (now_ + wait + need > request.deadline_at) {
     return Refusal{RefusalCode::kQueueTooLate, "the queue would end after the deadline", Ran::kNo,
@@ -196,7 +198,7 @@
   if (!is_full) return std::nullopt;
   const Refusal refusal{RefusalCode::kQueueFull, "the queue is full", Ran::kNo,
                         std::max<DurationMs>(wait, kShortRetryMs)};
-  // A higher class takes the place of the last of a lower one.
+  // A call of higher priority replaces the last queued call of lower priority.
   if (replica.queue.empty() || replica.queue.rbegin()->priority >= call.priority) return refusal;
   const auto last = requests_.find(replica.queue.rbegin()->id);
   if (last->second.call.body.size() < call.body.size()) return refusal;
@@ -220,9 +222,10 @@
     const bool others_wait = replica.queue.size() > 1;
     const DurationMs need = others_wait ? ExpectedHeadMs(replica) : 0;
     if (request.deadline_at < now_ + need) {
-      RefuseQueuedRequest(request.call.id, Refusal{RefusalCode::kQueueTooLate,
-                                                   "its turn came too late for its deadline",
-                                                   Ran::kNo, kShortRetryMs});
+      RefuseQueuedRequest(request.call.id,
+                          Refusal{RefusalCode::kQueueTooLate,
+                                  "it reached the head of the queue too late for its deadline",
+                                  Ran::kNo, kShortRetryMs});
       continue;
     }
     DispatchRequest(request, replica);
@@ -256,7 +259,7 @@
                                request.was_cold, BuildReport(request.call.key)});
 }
 
-// What was queued before waits for the rest's end, as far as its deadlines allow.
+// Queued calls wait for the end of the backoff, unless their deadlines pass first.
 void AgentImpl::On(agent::UpstreamBackoff event) {
   backoff_until_ = std::max(backoff_until_, now_ + event.backoff_ms);
 }
@@ -305,13 +308,13 @@
     Refuse(ended, Refusal{RefusalCode::kUpstreamFailed, "the upstream failed: " + event.reason,
                           Ran::kUnknown, kShortRetryMs});
   } else {
-    Refuse(ended,
-           Refusal{RefusalCode::kUpstreamUnreachable,
-                   "the upstream took no connection: " + event.reason, Ran::kNo, kShortRetryMs});
+    Refuse(ended, Refusal{RefusalCode::kUpstreamUnreachable,
+                          "the upstream accepted no connection: " + event.reason, Ran::kNo,
+                          kShortRetryMs});
   }
 }
 
-// Ends the part a dispatched request played at its replica.
+// Updates the replica when a dispatched request ends.
 void AgentImpl::FinishDispatch(AgentRequest& request) {
   Replica& replica = FindOrAddReplica(request.call.key);
   --replica.running;
@@ -329,7 +332,7 @@
   const CallFrame& call = request.call;
   if (refusal.ran == Ran::kNo) {
     CheckInvariant(request.state == RequestState::kQueued,
-                   "a request said not to have run has no dispatch");
+                   "a request reported as not run was never dispatched");
     ++counters_.refused;
     if (!request.idempotency_row_key.empty()) idempotency_table_.Erase(request.idempotency_row_key);
   } else {
@@ -361,8 +364,8 @@
   queued_bytes_ -= request.call.body.size();
 }
 
-// Refuses one that is still in its queue. It leaves first, so that the report
-// that rides on the refusal no longer counts it.
+// Refuses a request that is still queued. It is erased first, so that the report
+// sent with the refusal no longer counts it.
 void AgentImpl::RefuseQueuedRequest(const std::string& id, const Refusal& refusal) {
   const AgentRequest request = requests_.at(id);
   EraseRequest(request.call.id);
@@ -375,8 +378,8 @@
   }
 }
 
-// The caller or its link is gone, or the deadline has passed. A call that may
-// be repeated is cut off; one that may not runs on and is remembered.
+// Called when the caller or its link is gone, or the deadline has passed. A
+// repeatable call is cancelled; any other runs to its end and its result is kept.
 void AgentImpl::AbandonRequest(AgentRequest& request, std::uint64_t AgentCounters::*counter) {
   if (request.abandoned_counter != nullptr) return;
   const std::string id = request.call.id;
@@ -409,7 +412,7 @@
   for (const auto& [id, request] : requests_) {
     if (request.link == event.link) ids.push_back(id);
   }
-  // The table's own order differs between builds; decisions must not.
+  // The iteration order of the table differs between builds; decisions must not.
   std::sort(ids.begin(), ids.end());
   for (const auto& it : ids) CancelRequest(it);
 }
@@ -420,7 +423,7 @@
     const bool waits =
         request.state != RequestState::kAnswering && request.abandoned_counter == nullptr;
     const Replica& replica = FindOrAddReplica(request.call.key);
-    // A load that slips, or one that more urgent ones have come before.
+    // The load is overdue, or more urgent loads have been put before it.
     const bool slipped =
         request.state == RequestState::kQueued && replica.state != ReplicaState::kLoaded &&
         now_ + TimeUntilReady(replica, LoadPosition(replica, request)) > request.deadline_at;
@@ -436,22 +439,23 @@
       EraseRequest(id);
       const bool passed = ended.deadline_at < now_;
       const Replica& replica = FindOrAddReplica(ended.call.key);
-      Refuse(ended,
-             passed ? Refusal{RefusalCode::kDeadlinePassed, "the deadline passed in the queue",
-                              Ran::kNo, kShortRetryMs}
-                    : Refusal{RefusalCode::kColdTooLate, "the load has slipped past the deadline",
-                              Ran::kNo, TimeUntilReady(replica)});
+      Refuse(ended, passed ? Refusal{RefusalCode::kDeadlinePassed,
+                                     "the deadline passed in the queue", Ran::kNo, kShortRetryMs}
+                           : Refusal{RefusalCode::kColdTooLate,
+                                     "the load is overdue and would end after the deadline",
+                                     Ran::kNo, TimeUntilReady(replica)});
       continue;
     }
     const AgentRequest copy = request;
     AbandonRequest(request, &AgentCounters::failed);
-    // AbandonRequest has counted, or will count, this one; only the frame is owed.
+    // AbandonRequest has counted this request or will; only the frame is left to send.
     Send(copy.link, RefusalFrame{id,
                                  Refusal{RefusalCode::kDeadlinePassed,
-                                         "the upstream gave no answer before the deadline",
+                                         "the upstream did not respond before the deadline",
                                          Ran::kUnknown, kShortRetryMs},
                                  BuildReport(copy.call.key)});
-    RecordDecision(id, copy.call.key, "gave up: the upstream gave no answer before the deadline");
+    RecordDecision(id, copy.call.key,
+                   "abandoned: the upstream did not respond before the deadline");
   }
 }
 
@@ -481,7 +485,7 @@
 void AgentImpl::CheckConservation() const {
   const AgentCounters& c = counters_;
   CheckInvariant(c.received == c.answered + c.refused + c.failed + c.cancelled + requests_.size(),
-                 "received = answered + refused + failed + cancelled + present, at the agent");
+                 "agent: received = answered + refused + failed + cancelled + open");
 }
 
 void AgentImpl::OnFrame(LinkId link, const WhyFrame& why) {
--- a/src/core/burn.cc
+++ b/src/core/burn.cc
@@ -19,7 +19,7 @@
   return counts;
 }
 
-// The burn of a budget of which `allowed` is the bad share.
+// Burn rate of a budget that allows a share `allowed` of bad calls.
 double BurnRate(std::uint64_t bad, std::uint64_t all, double allowed) {
   if (all == 0) return 0;
   return static_cast<double>(bad) / static_cast<double>(all) / allowed;
@@ -49,7 +49,7 @@
       CountOf(counts, BurnCause::kSlowCold) + CountOf(counts, BurnCause::kSlowWarm);
   const std::uint64_t unserved = all - CountOf(counts, BurnCause::kGood) - slow;
   BurnRates rates;
-  // A call that was not served had no first token in time either.
+  // A call that was not served also missed the first-token objective.
   rates.first_token = BurnRate(slow + unserved, all, 1 - objectives.first_token_share);
   rates.availability = BurnRate(unserved, all, 1 - objectives.availability);
   rates.cold_start =
--- a/src/core/decision_log.cc
+++ b/src/core/decision_log.cc
@@ -6,7 +6,7 @@
 namespace junctionrail {
 namespace {
 
-// Whether `id` is `request` itself or one of its attempts.
+// Returns whether `id` is `request` or one of its attempts.
 bool IsRequestOrAttempt(std::string_view id, std::string_view request) {
   if (id.compare(0, request.size(), request) != 0) return false;
   return id.size() == request.size() || id[request.size()] == '.';
--- a/src/core/entry_core.cc
+++ b/src/core/entry_core.cc
@@ -14,7 +14,7 @@
       retry_tokens_(options_.retry_burst) {}
 
 void EntryImpl::Handle(TimeMs now, entry::Event event, std::vector<entry::Command>* commands) {
-  CheckInvariant(now >= now_, "time never goes back");
+  CheckInvariant(now >= now_, "time never decreases");
   commands_ = commands;
   now_ = now;
   std::visit([this](auto& it) { On(std::move(it)); }, event);
--- a/src/core/entry_grants.cc
+++ b/src/core/entry_grants.cc
@@ -1,5 +1,5 @@
-// What an entry knows to be granted: the configuration in force, the grant
-// records, and the slots asked back when the declared count falls.
+// Grants as known to an entry: the current configuration, the grant records, and
+// the retirement of slots above the declared number of replicas.
 #include <algorithm>
 #include <utility>
 
@@ -9,8 +9,8 @@
 namespace {
 
 constexpr DurationMs kRetireCheckPeriodMs = 1000;
-constexpr DurationMs kRetireDelayPerRankMs = 2000;  // Later entries step in after this, each.
-constexpr std::uint32_t kMaxRetireRank = 8;         // Turns after this one coincide.
+constexpr DurationMs kRetireDelayPerRankMs = 2000;  // Additional delay per rank.
+constexpr std::uint32_t kMaxRetireRank = 8;         // Higher ranks share one delay.
 
 }  // namespace
 
@@ -22,7 +22,7 @@
     return;
   }
   CheckInvariant(event.configuration.version() >= configuration_.version(),
-                 "an applied configuration never falls");
+                 "the configuration version never decreases");
   configuration_ = std::move(event.configuration);
   may_have_excess_ = true;
   RecordDecision({}, {}, {},
@@ -33,7 +33,7 @@
   if (event.change.version <= configuration_.version()) return;
   const std::uint64_t before = configuration_.version();
   if (!configuration_.Apply(event.change)) return Emit(entry::ReadConfiguration{});
-  CheckInvariant(configuration_.version() > before, "an applied configuration never falls");
+  CheckInvariant(configuration_.version() > before, "the configuration version never decreases");
   may_have_excess_ = true;
   RecordDecision({}, {}, {},
                  "configuration " + std::to_string(configuration_.version()) + " is in force",
@@ -53,8 +53,8 @@
   return all;
 }
 
-// Whether the VM that holds a slot is known to be gone. A list older than the
-// one the slot was placed by cannot tell.
+// Whether the VM that holds a slot is known to be gone. A VM list older than the one
+// used for placing the slot cannot tell.
 bool EntryImpl::IsHolderGone(const GrantSlot& slot) const {
   if (list_.revision < slot.list_revision) return false;
   const auto it = upstreams_.find(slot.vm);
@@ -79,7 +79,7 @@
   GrantRecord& known = grants_[record.key];
   if (record.revision < known.revision) return;
   if (record.slots.size() > DeclaredReplicas(record.key)) may_have_excess_ = true;
-  // A base that leaves a VM makes orphans of the adapters it has there.
+  // When a base is removed from a VM, its adapters there can no longer be served.
   const auto still_exists = [&record](const GrantSlot& old) {
     return std::any_of(record.slots.begin(), record.slots.end(),
                        [&old](const GrantSlot& it) { return it.token == old.token; });
@@ -93,7 +93,7 @@
   const std::string key = event.record.key;
   StoreGrant(std::move(event.record));
   const auto placement = placements_.find(key);
-  // A write of this entry's own ends through its answer, not through the watch.
+  // An own write ends with its own result, not with the watch event.
   const bool is_writing =
       placement != placements_.end() && (placement->second.state == PlacementState::kWriting ||
                                          placement->second.state == PlacementState::kReading);
@@ -102,8 +102,8 @@
   RouteWaiters(key);
 }
 
-// Takes the calls that wait for a slot of a key and acts on each that still
-// does. The action may end the call or make it wait again.
+// Removes the calls waiting for a slot of a key from the list and runs `action` on
+// each that still waits. The action may end the call or make it wait again.
 void EntryImpl::ForEachWaiter(const std::string& key,
                               const std::function<void(EntryCall&)>& action) {
   const auto it = waiters_.find(key);
@@ -120,7 +120,7 @@
   ForEachWaiter(key, [this](EntryCall& call) { Route(call); });
 }
 
-// ---- Slots above the declared count ----------------------------------------
+// ---- Slots above the declared number of replicas ---------------------------
 
 void EntryImpl::RetireExcess() {
   if (!may_have_excess_ || now_ < next_retire_at_) return;
@@ -161,7 +161,7 @@
     ++counters_.retires_sent;
     RecordDecision(
         {}, record.key, it.vm,
-        it.vm + " is told to give slot " + std::to_string(it.index) + " back",
+        it.vm + " is asked to release slot " + std::to_string(it.index) + " of the key",
         "declared=" + std::to_string(declared) + " granted=" + std::to_string(record.slots.size()));
     Emit(entry::SendFrame{it.vm,
                           RetireFrame{record.key, it.index, it.token, configuration_.version()}});
--- a/src/core/entry_impl.h
+++ b/src/core/entry_impl.h
@@ -1,8 +1,7 @@
-// The tables of an entry and the systems that run over them. The sources are
-// split by concern: entry_requests.cc (calls, attempts, answers, retries),
-// entry_routing.cc (candidates, reports, ejection), entry_placement.cc (turns,
-// asking, writing a slot, the tick), entry_grants.cc (configuration, grants,
-// slots asked back).
+// State and implementation of EntryCore. The sources are split by concern:
+// entry_requests.cc (calls, attempts, responses, retries), entry_routing.cc
+// (candidates, reports, ejection), entry_placement.cc (offers, writing a slot,
+// tick), entry_grants.cc (configuration, grants, retired slots).
 #ifndef JUNCTIONRAIL_CORE_ENTRY_IMPL_H_
 #define JUNCTIONRAIL_CORE_ENTRY_IMPL_H_
 
@@ -21,46 +20,46 @@
 
 namespace junctionrail::internal {
 
-// Where a call stands. From kSent on, an upstream may have run it.
+// State of a call. In kSent an upstream may have run it.
 enum class CallState { kWaiting, kSent };
 
 struct EntryCall {
   entry::CallArrived call;
-  std::string key;  // What the name resolved to.
+  std::string key;  // Key that the name resolved to.
   CallState state = CallState::kWaiting;
   TimeMs arrived_at = 0;
   TimeMs deadline_at = 0;
   std::uint32_t attempts = 0;
-  std::string vm;  // Of the attempt under way.
+  std::string vm;  // Upstream of the current attempt.
   std::uint64_t next_sequence = 0;
   TimeMs head_at = 0;
-  bool was_cold = false;      // It waited for a load.
-  bool has_head = false;      // The upstream has begun to answer.
-  bool is_delivered = false;  // The caller has been sent a head.
+  bool was_cold = false;      // The call waited for a load.
+  bool has_head = false;      // The upstream has begun to respond.
+  bool is_delivered = false;  // The response head was sent to the caller.
   std::uint32_t status = 0;
   std::string content_type;
-  std::string buffer;            // Pieces not passed on yet.
-  std::set<std::string> tried;   // Upstreams that did not run it.
-  bool may_have_run = false;     // An attempt ended with its outcome unknown.
-  bool requires_loaded = false;  // A cold replica is known to be too late.
+  std::string buffer;            // Response data not forwarded yet.
+  std::set<std::string> tried;   // Upstreams already tried.
+  bool may_have_run = false;     // An attempt ended with an unknown outcome.
+  bool requires_loaded = false;  // A cold start is known to be too slow.
   std::optional<Refusal> last_refusal;
-  TimeMs wait_until = 0;  // While waiting for a slot to come free.
+  TimeMs wait_until = 0;  // Limit of the wait for a slot to be released.
 };
 
-// An upstream's last word about one key, and what was sent to it since.
+// The last report of an upstream about one key, and the number of calls sent since.
 struct LastReport {
   UpstreamReport report;
   std::uint32_t sent_since = 0;
 };
 
-// What this entry knows of one upstream.
+// State of one upstream as known to this entry.
 struct Upstream {
   VmInfo info;
   bool is_listed = true;
-  TimeMs leaving_until = 0;  // It said it was leaving; asked again after this.
+  TimeMs leaving_until = 0;  // It reported that it is leaving; tried again after this.
   std::uint32_t in_flight = 0;
-  std::uint32_t failures = 0;   // In a row.
-  std::uint32_t ejections = 0;  // In a row.
+  std::uint32_t failures = 0;   // Consecutive.
+  std::uint32_t ejections = 0;  // Consecutive.
   TimeMs ejected_until = 0;
   std::map<std::string, LastReport, std::less<>> reports;  // By key.
 };
@@ -75,12 +74,12 @@
   std::uint32_t conflicts = 0;
   std::set<std::string> queried;
   std::set<std::string> pending_offers;
-  std::vector<OfferFrame> offers;      // In the order they came.
+  std::vector<OfferFrame> offers;      // In order of arrival.
   std::vector<std::string> offer_vms;  // The VM of each offer.
   std::vector<RejectedCandidate> rejected;
 };
 
-// A candidate with the time to its first token as far as this entry can tell.
+// A candidate with its estimated time to the first token.
 struct Candidate {
   const Upstream* upstream = nullptr;
   DurationMs estimate_ms = 0;
@@ -116,8 +115,9 @@
   void OnFrame(const std::string& vm, const EndFrame& end);
   void OnFrame(const std::string& vm, RefusalFrame refusal);
   void OnFrame(const std::string& vm, OfferFrame offer);
+  // Ignores frames that only entries send, and hello.
   template <class OtherFrame>
-  void OnFrame(const std::string&, const OtherFrame&) {}  // Frames only an entry sends, and hello.
+  void OnFrame(const std::string&, const OtherFrame&) {}
   EntryCall* FindCall(const std::string& attempt, const std::string& vm);
   std::optional<Refusal> ResolveName(EntryCall& call);
   void SendAttempt(EntryCall& call, const Upstream& upstream);
@@ -190,8 +190,8 @@
   VmList list_;
   std::mt19937_64 random_;
   std::unordered_map<std::string, EntryCall> calls_;
-  std::set<std::pair<TimeMs, std::string>> deadlines_;       // Of calls not yet answering.
-  std::map<std::string, std::vector<std::string>> waiters_;  // Calls by the key they wait for.
+  std::set<std::pair<TimeMs, std::string>> deadlines_;       // Of calls without a response head.
+  std::map<std::string, std::vector<std::string>> waiters_;  // Waiting calls by key.
   std::map<std::string, Upstream, std::less<>> upstreams_;
   std::map<std::string, GrantRecord, std::less<>> grants_;
   std::map<std::string, Placement> placements_;
@@ -199,7 +199,7 @@
   TimeMs now_ = 0;
   std::map<std::string, TimeMs> excess_since_;
   TimeMs next_retire_at_ = 0;
-  bool may_have_excess_ = false;  // Some record may hold more slots than are declared.
+  bool may_have_excess_ = false;  // A record may hold more slots than declared.
   double retry_tokens_ = 0;
   std::uint64_t attempts_ = 0;
   bool stopping_ = false;
--- a/src/core/entry_placement.cc
+++ b/src/core/entry_placement.cc
@@ -1,5 +1,5 @@
-// Placement: who places the next slot of a key, whom it asks, and where the slot
-// goes; and the tick.
+// Placement of the next slot of a key: which entry places it, which upstreams are
+// asked for an offer, and which offer is chosen. Also the periodic tick.
 #include <algorithm>
 #include <iterator>
 #include <utility>
@@ -10,10 +10,10 @@
 namespace {
 
 constexpr DurationMs kShortRetryMs = 200;
-constexpr DurationMs kKvRetryMs = 1000;     // Of the key-value service.
-constexpr DurationMs kKvTimeoutMs = 10000;  // Longer than the client's own limit.
+constexpr DurationMs kKvRetryMs = 1000;     // After a failure of the key-value service.
+constexpr DurationMs kKvTimeoutMs = 10000;  // Longer than the client's own timeout.
 constexpr std::uint32_t kMaxConflicts = 8;
-constexpr double kEqualLoadRatio = 1.2;  // Loads this close count as equal.
+constexpr double kEqualLoadRatio = 1.2;  // Load times within this ratio count as equal.
 
 std::string_view TierName(CacheTier tier) {
   switch (tier) {
@@ -40,7 +40,7 @@
   BeginPlacement(key);
 }
 
-// This entry's place in the order in which live entries act on a key.
+// The rank of this entry among the live entries, in rendezvous order for the key.
 std::uint32_t EntryImpl::RankOf(std::string_view key) const {
   const std::uint64_t own = RendezvousScore(key, options_.vm);
   std::uint32_t before = 0;
@@ -59,8 +59,8 @@
   const std::uint32_t rank = RankOf(key);
   placement.until = now_;
   if (rank > 0) {
-    // The more entries there are, the wider their turns are spread, so that
-    // most of a burst sees the first one's grant instead of writing its own.
+    // The delays are spread wider with a growing number of entries, so that in a
+    // burst most entries see the grant of the first instead of writing their own.
     const DurationMs spread = std::min<DurationMs>(rank, options_.placement_jitter_ms);
     std::uniform_int_distribution<DurationMs> jitter(0, spread);
     placement.until = now_ + options_.placement_delay_ms + jitter(random_);
@@ -78,7 +78,7 @@
             key, Refusal{RefusalCode::kNotDeclared, "it is no longer declared", Ran::kNo, 0});
       }
       if (model->IsAdapter() && LiveSlots(model->base).empty()) {
-        // The base is placed first; its grant brings this placement on.
+        // The base is placed first; this placement continues after its grant.
         placement.state = PlacementState::kAwaitingBase;
         placement.until = now_ + kKvTimeoutMs;
         const std::string base = model->base;
@@ -113,8 +113,8 @@
   }
 }
 
-// Upstreams that could be asked: those that have spoken of the key before first, as
-// they are likely to have it cached, then in rendezvous order.
+// Upstreams that can be asked for an offer: first those that have reported on the
+// key, because they are likely to have it cached, then in rendezvous order.
 std::vector<const Upstream*> EntryImpl::PlacementOrder(const std::string& key) const {
   const ModelDeclaration* model = configuration_.Resolve(key);
   struct Ranked {
@@ -152,13 +152,14 @@
     const bool any_queried = !placement.queried.empty();
     RecordDecision(
         {}, key, {},
-        any_queried ? "no upstream that was asked has room" : "no upstream could be asked",
+        any_queried ? "no upstream that was asked has enough memory" : "no upstream could be asked",
         "asked=" + std::to_string(placement.queried.size()), placement.rejected);
     const Refusal refusal =
-        any_queried ? Refusal{RefusalCode::kNoMemory, "no upstream that was asked has room for it",
-                              Ran::kNo, kKvRetryMs}
-                    : Refusal{RefusalCode::kNoUpstream, "no upstream could be asked to hold it",
-                              Ran::kNo, kKvRetryMs};
+        any_queried
+            ? Refusal{RefusalCode::kNoMemory, "no upstream that was asked has enough memory for it",
+                      Ran::kNo, kKvRetryMs}
+            : Refusal{RefusalCode::kNoUpstream, "no upstream could be asked to hold it", Ran::kNo,
+                      kKvRetryMs};
     return EndPlacement(key, refusal);
   }
   ++placement.offer_batches;
@@ -176,7 +177,7 @@
   const auto it = placements_.find(offer.key);
   if (it == placements_.end() || it->second.pending_offers.erase(vm) == 0) return;
   Placement& placement = it->second;
-  // Until a call has been there, the offer is the best word on its cold start.
+  // Until a call was sent there, the offer is the best estimate of the cold start.
   const auto upstream = upstreams_.find(vm);
   if (upstream != upstreams_.end()) {
     UpstreamReport expected;
@@ -193,7 +194,7 @@
   std::vector<std::string> keys;
   for (auto& [key, it] : placements_) {
     if (it.pending_offers.erase(vm) == 0) continue;
-    it.rejected.push_back({vm, "took no connection"});
+    it.rejected.push_back({vm, "accepted no connection"});
     if (it.state == PlacementState::kCollectingOffers && it.pending_offers.empty())
       keys.push_back(key);
   }
@@ -203,9 +204,9 @@
   }
 }
 
-// The shortest load; among loads as short, another data hall than the slots
-// already have, then rendezvous order: models that wake together then do not
-// all go to the upstream that happens to answer first.
+// Chooses the offer with the shortest load time. Among equal ones it prefers a data
+// hall without a slot, then rendezvous order, so that models requested at the same
+// time do not all go to the upstream that replies first.
 void EntryImpl::ChooseOffer(const std::string& key, Placement& placement) {
   std::set<std::string> halls;
   for (const auto& slot : LiveSlots(key)) halls.insert(upstreams_.at(slot.vm).info.data_hall);
@@ -294,8 +295,9 @@
           event.key, Refusal{RefusalCode::kPlacementFailed, "the key-value service did not answer",
                              Ran::kNo, kKvRetryMs});
     }
-    // The write may have taken effect. Reading settles it: either the slot is
-    // there, or the next write depends on what was read and so excludes it.
+    // The write may have taken effect. A read resolves this: either the slot is
+    // there, or the next write depends on the revision read, which excludes the
+    // earlier write.
     placement.state = PlacementState::kReading;
     placement.until = now_ + kKvTimeoutMs;
     ++counters_.grant_reads;
@@ -317,7 +319,7 @@
   RouteWaiters(event.key);
 }
 
-// Ends a placement without a slot. The calls that waited are told at once.
+// Ends a placement without a slot and refuses the waiting calls.
 void EntryImpl::EndPlacement(const std::string& key, const Refusal& refusal) {
   placements_.erase(key);
   ForEachWaiter(key, [&](EntryCall& call) { Refuse(call, refusal); });
--- a/src/core/entry_requests.cc
+++ b/src/core/entry_requests.cc
@@ -1,5 +1,5 @@
-// The calls of an entry: arrival, attempts, answers, retries, the end of each
-// call, and the conservation of calls.
+// The calls of an entry: arrival, attempts, responses, retries, the end of each
+// call, and the check that no call is lost.
 #include <algorithm>
 #include <utility>
 
@@ -37,7 +37,7 @@
   Route(stored);
 }
 
-// Turns the name a caller used into the key of a declaration.
+// Resolves the name that the caller used to the key of a declaration.
 std::optional<Refusal> EntryImpl::ResolveName(EntryCall& call) {
   const entry::CallArrived& request = call.call;
   if (request.is_service) {
@@ -120,7 +120,7 @@
   Emit(entry::SendFrame{call.vm, std::move(frame)});
 }
 
-// The call an agent's frame is about; null when that attempt is over.
+// Returns the call of an agent's frame, or null if that attempt has ended.
 EntryCall* EntryImpl::FindCall(const std::string& attempt, const std::string& vm) {
   const std::size_t dot = attempt.rfind('.');
   const auto it = dot == std::string::npos ? calls_.end() : calls_.find(attempt.substr(0, dot));
@@ -156,7 +156,7 @@
   EntryCall* call = FindCall(piece.id, vm);
   if (call == nullptr) return;
   if (!call->has_head || piece.sequence != call->next_sequence) {
-    return AttemptLost(*call, Refusal{RefusalCode::kLinkLost, "a piece of the answer is missing",
+    return AttemptLost(*call, Refusal{RefusalCode::kLinkLost, "a part of the response is missing",
                                       Ran::kUnknown, kShortRetryMs});
   }
   ++call->next_sequence;
@@ -179,7 +179,7 @@
   if (call == nullptr) return;
   StoreReport(vm, call->key, end.report);
   if (!call->has_head || end.count != call->next_sequence) {
-    return AttemptLost(*call, Refusal{RefusalCode::kLinkLost, "the end of the answer is missing",
+    return AttemptLost(*call, Refusal{RefusalCode::kLinkLost, "the end of the response is missing",
                                       Ran::kUnknown, kShortRetryMs});
   }
   RecordSuccess(vm);
@@ -217,7 +217,7 @@
   call.state = CallState::kWaiting;
 }
 
-// The attempt did not run; any call may go elsewhere.
+// The attempt did not run, so any call may be sent to another upstream.
 void EntryImpl::AttemptRefused(EntryCall& call, Refusal refusal) {
   EndAttempt(call);
   const std::string vm = call.vm;
@@ -240,8 +240,8 @@
   Route(call);
 }
 
-// The attempt's outcome is unknown; only a call that may be repeated and of
-// which the caller has seen nothing goes elsewhere.
+// The outcome of the attempt is unknown. Only a repeatable call of which the caller
+// has received nothing is sent to another upstream.
 void EntryImpl::AttemptLost(EntryCall& call, Refusal refusal) {
   const std::string vm = call.vm;
   Emit(entry::SendFrame{vm, CancelFrame{AttemptId(call)}});
@@ -266,7 +266,7 @@
   Refusal reported = refusal;
   if (call.may_have_run) reported.ran = Ran::kUnknown;
   CheckInvariant(call.state != CallState::kSent || reported.ran == Ran::kUnknown,
-                 "a call said not to have run is at no upstream");
+                 "a call reported as not run is at no upstream");
   ++(reported.ran == Ran::kNo ? counters_.refused : counters_.failed);
   ++counters_.refused_by_code[static_cast<std::size_t>(reported.code)];
   const std::string id = call.call.id;
@@ -320,8 +320,8 @@
                           Ran::kUnknown, kShortRetryMs});
     } else {
       AttemptRefused(found->second,
-                     Refusal{RefusalCode::kUpstreamUnreachable, event.vm + " took no connection",
-                             Ran::kNo, kShortRetryMs});
+                     Refusal{RefusalCode::kUpstreamUnreachable,
+                             event.vm + " accepted no connection", Ran::kNo, kShortRetryMs});
     }
   }
   OfferFailed(event.vm);
@@ -335,7 +335,7 @@
     if (is_sent && now_ < deadline + options_.refusal_grace_ms) break;
     if (is_sent) {
       AttemptLost(call, Refusal{RefusalCode::kDeadlinePassed,
-                                "the upstream gave no answer before the deadline", Ran::kUnknown,
+                                "the upstream did not respond before the deadline", Ran::kUnknown,
                                 kShortRetryMs});
     } else {
       Refuse(call, Refusal{RefusalCode::kDeadlinePassed, "the deadline passed before it was sent",
@@ -349,7 +349,7 @@
 void EntryImpl::CheckConservation() const {
   const EntryCounters& c = counters_;
   CheckInvariant(c.received == c.answered + c.refused + c.failed + c.cancelled + calls_.size(),
-                 "received = answered + refused + failed + cancelled + present, at the entry");
+                 "entry: received = answered + refused + failed + cancelled + open");
 }
 
 }  // namespace junctionrail::internal
--- a/src/core/entry_routing.cc
+++ b/src/core/entry_routing.cc
@@ -1,5 +1,5 @@
-// The choice of an upstream: who may hold the key, who says what, who is
-// ejected, and the estimate of the time to the first token.
+// Choice of an upstream: candidates, reports, ejection, and the estimated time to
+// the first token.
 #include <algorithm>
 #include <utility>
 
@@ -8,11 +8,11 @@
 namespace junctionrail::internal {
 namespace {
 
-constexpr DurationMs kAssumedColdStartMs = 5000;  // Of a replica nobody reported on.
-constexpr DurationMs kOtherDataHallMs = 2;        // What leaving the data hall costs.
-constexpr DurationMs kEqualEstimateMs = 5;        // Estimates this close count as equal.
+constexpr DurationMs kAssumedColdStartMs = 5000;  // For a replica without a report.
+constexpr DurationMs kOtherDataHallMs = 2;        // Cost of another data hall.
+constexpr DurationMs kEqualEstimateMs = 5;        // Estimates within this count as equal.
 constexpr DurationMs kUsPerMs = 1000;
-constexpr double kPerCallMs = 0.5;  // Breaks ties by own calls in flight.
+constexpr double kPerCallMs = 0.5;  // Per own call in flight; breaks ties.
 constexpr DurationMs kShortRetryMs = 200;
 constexpr DurationMs kReportedLeavingMs = 500;
 constexpr std::uint32_t kMaxEjectionDoublings = 10;
@@ -51,7 +51,7 @@
   for (const auto& [vm, it] : upstreams_) {
     if (!it.is_listed) gone.push_back(vm);
   }
-  // Whatever was sent to a VM that no longer exists has an unknown outcome.
+  // Attempts sent to a VM that no longer exists have an unknown outcome.
   for (const auto& vm : gone) On(entry::LinkClosed{vm, true});
   for (auto it = upstreams_.begin(); it != upstreams_.end();) {
     it = it->second.is_listed ? std::next(it) : upstreams_.erase(it);
@@ -63,12 +63,12 @@
   RouteToModel(call);
 }
 
-// Why an upstream cannot take this call now; nothing when it can.
+// Returns why an upstream cannot take this call now, or nullopt if it can.
 std::optional<std::string> EntryImpl::UnusableReason(const EntryCall& call,
                                                      const Upstream& upstream) const {
   if (!upstream.is_listed) return "gone from the platform's list";
   if (IsLeaving(upstream)) return "leaving";
-  if (call.tried.count(upstream.info.vm) > 0) return "did not run this call before";
+  if (call.tried.count(upstream.info.vm) > 0) return "already tried for this call";
   return std::nullopt;
 }
 
@@ -87,7 +87,7 @@
   if (report != upstream.reports.end()) {
     const UpstreamReport& last = report->second.report;
     candidate.state = last.state;
-    // The report lags: what this entry has sent since stands in line too.
+    // The report lags: calls that this entry has sent since then also wait.
     const std::uint32_t excess =
         report->second.sent_since - std::min(report->second.sent_since, last.free_places);
     candidate.estimate_ms =
@@ -107,7 +107,7 @@
     if (unusable) return rejected->push_back({upstream.info.vm, *unusable});
     const Candidate candidate = Estimate(call.key, upstream);
     if (call.requires_loaded && candidate.state != ReplicaState::kLoaded) {
-      return rejected->push_back({upstream.info.vm, "cold, and a cold start is too late"});
+      return rejected->push_back({upstream.info.vm, "cold, and a cold start would be too slow"});
     }
     (IsEjected(upstream) ? ejected : found).push_back(candidate);
   };
@@ -130,13 +130,13 @@
       }
     }
   }
-  // With every replica ejected, the least bad is better than none.
+  // If every replica is ejected, use an ejected one rather than none.
   if (found.empty()) return ejected;
   for (const auto& it : ejected) rejected->push_back({it.upstream->info.vm, "ejected"});
   return found;
 }
 
-// The least estimate; among those as good, the less busy of two at random.
+// Picks the lowest estimate; among equal ones, the less loaded of two random choices.
 const Candidate& EntryImpl::Pick(const std::vector<Candidate>& candidates) {
   const auto best = std::min_element(
       candidates.begin(), candidates.end(),
@@ -152,7 +152,7 @@
   return second->upstream->in_flight < first->upstream->in_flight ? *second : *first;
 }
 
-// The upstream whose agent remembers this idempotency key.
+// The upstream whose agent owns the idempotency key.
 const Upstream* EntryImpl::KeyOwnerOf(const EntryCall& call) const {
   const Upstream* owner = nullptr;
   std::uint64_t most = 0;
@@ -174,7 +174,7 @@
   std::string why = "the least loaded";
   if (!call.call.idempotency_key.empty()) {
     chosen = KeyOwnerOf(call);
-    why = "the home of its idempotency key";
+    why = "the owner of its idempotency key";
   } else {
     const auto candidates = CandidatesFor(call, &rejected);
     if (!candidates.empty()) chosen = Pick(candidates).upstream;
@@ -215,7 +215,7 @@
                    std::move(rejected));
   }
   if (!call.requires_loaded && CanAddSlot(call.key)) return WaitForPlacement(call);
-  // A slot may be on its way back; it is worth a short wait, but only once.
+  // A slot may be about to be released: wait for a short time, but only once.
   const bool may_be_released =
       call.last_refusal && (call.last_refusal->code == RefusalCode::kNoMemory ||
                             call.last_refusal->code == RefusalCode::kNotGranted);
@@ -225,7 +225,7 @@
     waiters_[call.key].push_back(call.call.id);
     return;
   }
-  const Refusal none{RefusalCode::kNoUpstream, "every replica's upstream is leaving or away",
+  const Refusal none{RefusalCode::kNoUpstream, "every replica's upstream is leaving or unavailable",
                      Ran::kNo, kShortRetryMs};
   Refuse(call, call.last_refusal.value_or(none));
 }
@@ -238,8 +238,8 @@
   SetReportedLeaving(vm, report.leaving);
 }
 
-// The platform's list lags, so an agent's own word counts for a while; then it
-// is tried again, for its process may only have been restarted.
+// The platform's list lags, so an agent's own report counts for a while. Then the
+// agent is tried again, because its process may only have been restarted.
 void EntryImpl::SetReportedLeaving(const std::string& vm, bool is_leaving) {
   upstreams_[vm].leaving_until = is_leaving ? now_ + kReportedLeavingMs : 0;
 }
--- a/src/core/idempotency_table.h
+++ b/src/core/idempotency_table.h
@@ -1,5 +1,5 @@
-// The at-most-once table of a plain service's agent: for each idempotency key
-// the call that came first and, once known, its answer.
+// The idempotency table of a plain service's agent: the first call with each key
+// and, once known, its response.
 #ifndef JUNCTIONRAIL_CORE_IDEMPOTENCY_TABLE_H_
 #define JUNCTIONRAIL_CORE_IDEMPOTENCY_TABLE_H_
 
@@ -31,15 +31,16 @@
 
   IdempotencyRow* Find(std::string_view key);
 
-  // Opens a row for a call about to be sent. Null when the table is full: the
-  // call must then be refused, as evicting a row would let a repeat run.
+  // Inserts a row for a call that is about to be sent. Returns null if the table is
+  // full; the call must then be refused, because evicting a row could let a repeated
+  // call run twice.
   IdempotencyRow* Insert(const std::string& key, std::uint64_t fingerprint, TimeMs expires_at);
 
-  // Adds to a running row's answer. False when the answer is too big to keep:
-  // the row is then of unknown outcome to repeats.
+  // Appends to the response of a running row. Returns false if the response is too
+  // large to store; repeated calls then get an unknown outcome.
   bool Append(IdempotencyRow* row, std::string_view data);
 
-  // Takes back a row whose call is known not to have run.
+  // Erases a row whose call is known not to have run.
   void Erase(std::string_view key);
 
   void EraseExpired(TimeMs now);
@@ -54,8 +55,8 @@
   std::size_t max_bytes_;
 };
 
-// The time at which a UUID version 7 (RFC 9562 section 5.7) was made, in Unix
-// milliseconds; nothing for any other text.
+// Returns the creation time of a UUID version 7 (RFC 9562 section 5.7) in Unix
+// milliseconds, or nullopt for any other text.
 std::optional<std::int64_t> UuidV7Time(std::string_view text);
 
 }  // namespace junctionrail::internal
--- a/src/core/idle_policy.cc
+++ b/src/core/idle_policy.cc
@@ -7,14 +7,14 @@
 
 constexpr double kMsPerSecond = 1000.0;
 
-// How many gaps the prior weighs as much as. Small, so that a replica's own
-// history soon prevails.
+// Number of gaps that the prior is worth. Small, so that the replica's own history
+// soon dominates.
 constexpr double kPriorWeight = 2.0;
 
-// What `limit` would have cost over the gaps seen, plus a prior: gaps of half
-// the time in which holding costs as much as a cold start. With no history the
-// best limit is then that time itself, the classic rent-or-buy point, at most
-// twice the best possible cost whatever comes.
+// Cost of `limit` over the recorded gaps and a prior of gaps that are half of the
+// break-even time, in which holding costs as much as a cold start. Without history
+// the best limit is the break-even time itself: the solution of the ski-rental
+// problem, whose cost is at most twice the optimum.
 double CostOf(DurationMs limit, const ArrivalHistory& history, const WeightedCost& policy,
               double cold_cost, DurationMs break_even) {
   const auto cost = [&](DurationMs gap) {
@@ -34,7 +34,8 @@
   const double exact = cold_cost / policy.idle_weight * kMsPerSecond;
   const DurationMs break_even =
       static_cast<DurationMs>(std::min(exact, static_cast<double>(policy.longest_idle_ms)));
-  // The cost only jumps at a gap's end, so the gaps are the only candidates.
+  // Between two gap lengths the cost only rises with the limit and it drops only at
+  // a gap length, so the gap lengths are the only candidates.
   DurationMs best = 0;
   double best_cost = CostOf(0, history, policy, cold_cost, break_even);
   const auto consider = [&](DurationMs limit) {
--- a/src/core/memory_ledger.h
+++ b/src/core/memory_ledger.h
@@ -1,5 +1,5 @@
-// The one account of accelerator memory beside an upstream. Memory is reserved
-// before a load is ordered and released only once its absence is confirmed.
+// Accounts for the accelerator memory of an upstream. Memory is reserved before a
+// load starts and released only after the model is confirmed to be absent.
 #ifndef JUNCTIONRAIL_CORE_MEMORY_LEDGER_H_
 #define JUNCTIONRAIL_CORE_MEMORY_LEDGER_H_
 
@@ -14,24 +14,24 @@
 
 class MemoryLedger {
  public:
-  // Sets the accelerators' sizes, in MB. Reservations stay.
+  // Sets the accelerator sizes in MB. Keeps the reservations.
   void SetCapacities(const std::vector<std::uint64_t>& capacities_mb);
 
-  // Reserves on the accelerator with the least room that still fits, so that
-  // large gaps stay whole. Nothing when none fits.
+  // Reserves on the accelerator with the least free memory that fits, to keep large
+  // free blocks. Returns nullopt if none fits.
   std::optional<std::uint32_t> Reserve(const std::string& key, std::uint64_t memory_mb);
 
-  // Reserves on one accelerator; false when it does not fit.
+  // Reserves on one accelerator. Returns false if it does not fit.
   bool ReserveOn(std::uint32_t accelerator, const std::string& key, std::uint64_t memory_mb);
 
-  // Enters what the engine says it already holds. The engine's word is taken
-  // even beyond capacity: the memory is in use whatever the ledger thinks.
+  // Records a model that the engine already holds, even beyond the capacity: the
+  // memory is in use whatever the ledger contains.
   void Adopt(std::uint32_t accelerator, const std::string& key, std::uint64_t memory_mb);
 
   void Release(std::string_view key);
 
   bool Holds(std::string_view key) const { return rows_.find(key) != rows_.end(); }
-  // Where a key's memory lies; nothing when it has none.
+  // The accelerator that holds the key's memory, or nullopt.
   std::optional<std::uint32_t> AcceleratorOf(std::string_view key) const;
   std::uint64_t MemoryOf(std::string_view key) const;
 
