--- a/test/agent_core_test.cc
+++ b/test/agent_core_test.cc
@@ -1,5 +1,5 @@
-// The agent's decisions as a story: a model is granted, woken, kept, shared,
-// and given back. Random runs (random_agent_test.cc) cover what no story tells.
+// Tests of AgentCore: loads, queue, memory and unloads of an agent.
+// random_agent_test.cc tests the same code with random events.
 #include "junctionrail/agent_core.h"
 
 #include <algorithm>
@@ -61,7 +61,7 @@
     Handle(agent::Ticked{1000 + now});
   }
 
-  // The newest command of a type; null when there is none.
+  // The last command of a type, or null.
   template <class C>
   const C* Last() const {
     const auto it = std::find_if(commands.rbegin(), commands.rend(), [](const agent::Command& c) {
@@ -82,7 +82,7 @@
     Handle(agent::LoadEnded{load.key, load.operation_id, OperationOutcome::kDone, ""});
   }
 
-  // The code an attempt was refused with; empty when it was not.
+  // The refusal code of an attempt, or an empty string if it was not refused.
   std::string RefusalOf(const std::string& id) const {
     for (const auto& it : commands) {
       const auto* sent = std::get_if<agent::SendFrame>(&it);
@@ -104,35 +104,36 @@
 TEST(AgentLoads, SharesOneLoadAmongWaitingCalls) {
   agent.Call("1", "a@1");
   agent.Call("2", "a@1");
-  EXPECT_NUMBER(1, agent.Count<agent::LoadModel>(), "one flight a model");
+  EXPECT_NUMBER(1, agent.Count<agent::LoadModel>(), "concurrent calls share one load");
   agent.FinishLoad();
   EXPECT_NUMBER(1, agent.Count<agent::Dispatch>(), "max_concurrent is 1");
-  EXPECT_NUMBER(2, agent.core.open_requests(), "the second waits");
+  EXPECT_NUMBER(2, agent.core.open_requests(), "the second call waits");
 }
 
 TEST(AgentLoads, RefusesACallWhoseDeadlineTheLoadWouldMiss) {
-  agent.Call("1", "a@1", 100);  // 600 MB from remote are assumed to take 234 ms.
-  EXPECT_TEXT("cold_too_late", agent.RefusalOf("1"), "see AdmitToEngine");
-  EXPECT_NUMBER(1, agent.Count<agent::LoadModel>(), "the load goes on for the next caller");
+  agent.Call("1", "a@1", 100);  // 600 MB from the remote tier are assumed to take 234 ms.
+  EXPECT_TEXT("cold_too_late", agent.RefusalOf("1"), "the load would end after the deadline");
+  EXPECT_NUMBER(1, agent.Count<agent::LoadModel>(), "the load continues for later calls");
 }
 
 TEST(AgentLoads, RefusesWaitingCallsWhenTheLoadIsOverdue) {
   agent.Call("1", "a@1", 300);
-  agent.Tick(250);  // The load has taken more than 234 ms, so a quarter more is expected.
+  agent.Tick(250);  // The load has exceeded 234 ms; a quarter of its time is added.
   EXPECT_TEXT("cold_too_late", agent.RefusalOf("1"), "an overdue load is re-estimated");
 }
 
 TEST(AgentLoads, EstimatesLoadTimesFromMeasurementsOfTheTier) {
   agent.Call("1", "a@1", 60000, Priority::kNormal, 300);
-  agent.now += 30;  // 300 MB were assumed to take 117 ms from remote.
+  agent.now += 30;  // 300 MB from the remote tier were assumed to take 117 ms.
   agent.FinishLoad();
   agent.Call("2", "b@1", 60, Priority::kNormal, 300);
-  EXPECT_TEXT("", agent.RefusalOf("2"), "a model never loaded here will take 30 ms as well");
+  EXPECT_TEXT("", agent.RefusalOf("2"), "30 ms are expected for another model of the tier");
 }
 
 TEST(AgentLoads, RefusesAModelWithoutAGrant) {
   agent.Call("1", "d@1");
-  EXPECT_TEXT("not_granted", agent.RefusalOf("1"), "token 1 of d@1 was another VM's at the start");
+  EXPECT_TEXT("not_granted", agent.RefusalOf("1"),
+              "at the start token 1 of d@1 belonged to another VM");
 }
 
 TEST(AgentLoads, AcceptsANewGrantWithoutReadingTheStore) {
@@ -143,7 +144,7 @@
   call.grants = {GrantView{"z@1", 0, 5, 100, "", 1}};
   agent.Handle(agent::FrameArrived{1, call});
   EXPECT_NUMBER(1, agent.Count<agent::LoadModel>(), "token 5 is newer than any known at the start");
-  EXPECT_NUMBER(0, agent.Count<agent::ReadGrants>(), "nothing is read to wake it");
+  EXPECT_NUMBER(0, agent.Count<agent::ReadGrants>(), "the grant is accepted without a read");
 }
 
 TEST_GROUP(AgentQueue) {
@@ -158,14 +159,14 @@
   agent.Call("low", "a@1", 60000, Priority::kLow);
   agent.Call("high", "a@1", 60000, Priority::kHigh);
   agent.Handle(agent::UpstreamEnd{"first"});
-  EXPECT_TEXT("high", agent.Last<agent::Dispatch>()->id, "class before arrival");
+  EXPECT_TEXT("high", agent.Last<agent::Dispatch>()->id, "priority precedes arrival");
 }
 
 TEST(AgentQueue, DispatchesEarlierDeadlineFirstWithinAPriority) {
   agent.Call("late", "a@1", 60000);
   agent.Call("soon", "a@1", 30000);
   agent.Handle(agent::UpstreamEnd{"first"});
-  EXPECT_TEXT("soon", agent.Last<agent::Dispatch>()->id, "deadline before arrival");
+  EXPECT_TEXT("soon", agent.Last<agent::Dispatch>()->id, "deadline precedes arrival");
 }
 
 TEST(AgentQueue, EvictsTheLowestPriorityWhenFull) {
@@ -173,55 +174,58 @@
   agent.Call("4", "a@1", 60000, Priority::kLow);
   EXPECT_TEXT("queue_full", agent.RefusalOf("4"), "max_queue_requests is 3");
   agent.Call("5", "a@1", 60000, Priority::kHigh);
-  EXPECT_TEXT("", agent.RefusalOf("5"), "a higher class takes a place");
-  EXPECT_NUMBER(4, agent.core.open_requests(), "one of the low class made room");
+  EXPECT_TEXT("", agent.RefusalOf("5"), "a call of higher priority is admitted");
+  EXPECT_NUMBER(4, agent.core.open_requests(), "one call of low priority was evicted");
 }
 
 TEST(AgentQueue, RefusesCallsThatWouldWaitPastTheirDeadline) {
   agent.Call("1", "a@1", 60000);
-  agent.Call("2", "a@1", 150);  // First in the queue, behind a call of an assumed 200 ms.
-  EXPECT_TEXT("queue_too_late", agent.RefusalOf("2"), "see QueueRefusal");
+  agent.Call("2", "a@1", 150);  // First in the queue, behind a call that is assumed to take 200 ms.
+  EXPECT_TEXT("queue_too_late", agent.RefusalOf("2"), "the estimated wait exceeds its deadline");
 }
 
 TEST(AgentQueue, RefusesCallsThatHigherPrioritiesDelayPastTheirDeadline) {
   agent.Call("low", "a@1", 450, Priority::kLow);
   agent.Call("high-1", "a@1", 60000, Priority::kHigh);
   agent.Call("high-2", "a@1", 60000, Priority::kHigh);
-  EXPECT_TEXT("", agent.RefusalOf("low"), "it could still be in time when it came");
-  agent.Tick(10);  // Now it would wait for three calls of an assumed 200 ms.
-  EXPECT_TEXT("queue_too_late", agent.RefusalOf("low"), "it must not be held until its deadline");
+  EXPECT_TEXT("", agent.RefusalOf("low"), "it could be in time when it arrived");
+  agent.Tick(10);  // Now it would wait for three calls that are assumed to take 200 ms each.
+  EXPECT_TEXT("queue_too_late", agent.RefusalOf("low"), "it must be refused before its deadline");
 }
 
 TEST(AgentQueue, SkipsCallsThatCannotBeAnsweredInTime) {
   agent.now += 100;
-  agent.Handle(agent::UpstreamHead{"first", 200, "text/plain"});  // Heads take about 100 ms.
+  agent.Handle(
+      agent::UpstreamHead{"first", 200, "text/plain"});  // Response heads take about 100 ms.
   agent.Call("late", "a@1", 400);
   agent.Call("other", "a@1", 60000);
   agent.now += 250;
   agent.Handle(agent::UpstreamEnd{"first"});
   EXPECT_TEXT("queue_too_late", agent.RefusalOf("late"),
-              "150 ms are left and about 200 are needed");
-  EXPECT_TEXT("other", agent.Last<agent::Dispatch>()->id, "the place goes to one in time");
+              "150 ms are left and about 200 ms are needed");
+  EXPECT_TEXT("other", agent.Last<agent::Dispatch>()->id,
+              "a call that can be in time is sent instead");
 }
 
-// Guards against an agent that goes on sending to an upstream which has asked for a rest.
+// Guards against an agent that keeps sending calls to an upstream that has asked for a
+// backoff.
 TEST(AgentQueue, PausesDispatchDuringUpstreamBackoff) {
   agent.Call("queued", "a@1", 60000);
   agent.Handle(agent::UpstreamBackoff{3000});
   agent.Handle(agent::UpstreamEnd{"first"});
   const int before = agent.Count<agent::Dispatch>();
   agent.Call("second", "a@1", 60000);
-  EXPECT_TEXT("queue_full", agent.RefusalOf("second"), "another upstream is there sooner");
+  EXPECT_TEXT("queue_full", agent.RefusalOf("second"), "another upstream can take it sooner");
   agent.Tick(2999);
-  EXPECT_NUMBER(before, agent.Count<agent::Dispatch>(), "calls sent by the end of the rest");
+  EXPECT_NUMBER(before, agent.Count<agent::Dispatch>(), "no call is sent during the backoff");
   agent.Tick(1);
-  EXPECT_TEXT("queued", agent.Last<agent::Dispatch>()->id, "the rest is over");
+  EXPECT_TEXT("queued", agent.Last<agent::Dispatch>()->id, "the backoff is over");
 }
 
 TEST(AgentQueue, CancelsTheDispatchOfACancelledCall) {
   agent.Handle(agent::FrameArrived{1, CancelFrame{"first"}});
-  EXPECT_NUMBER(1, agent.Count<agent::CancelDispatch>(), "the upstream must not go on for nobody");
-  EXPECT_NUMBER(0, agent.core.open_requests(), "nothing is left");
+  EXPECT_NUMBER(1, agent.Count<agent::CancelDispatch>(), "the upstream must stop working on it");
+  EXPECT_NUMBER(0, agent.core.open_requests(), "no request remains open");
 }
 
 TEST_GROUP(AgentMemory) {
@@ -235,17 +239,18 @@
 TEST(AgentMemory, IsNotReclaimedFromAModelInUse) {
   agent.Call("2", "b@1");
   EXPECT_TEXT("no_memory", agent.RefusalOf("2"), "a@1 is in use and both do not fit");
-  EXPECT_TEXT("b@1", agent.Last<agent::FreeGrant>()->key, "its slot may go where there is room");
+  EXPECT_TEXT("b@1", agent.Last<agent::FreeGrant>()->key,
+              "its slot is released for use on another VM");
 }
 
 TEST(AgentMemory, IsReclaimedFromAnIdleModel) {
   agent.Handle(agent::UpstreamEnd{"first"});
   agent.Call("2", "b@1");
-  EXPECT_TEXT("a@1", agent.Last<agent::UnloadModel>()->key, "an idle model makes room");
-  EXPECT_NUMBER(1, agent.Count<agent::LoadModel>(), "b@1 is loaded only once a@1 is gone");
+  EXPECT_TEXT("a@1", agent.Last<agent::UnloadModel>()->key, "the idle model is unloaded");
+  EXPECT_NUMBER(1, agent.Count<agent::LoadModel>(), "b@1 is loaded only after a@1 is unloaded");
   const agent::UnloadModel unload = *agent.Last<agent::UnloadModel>();
   agent.Handle(agent::UnloadEnded{"a@1", unload.operation_id, OperationOutcome::kDone});
-  EXPECT_TEXT("b@1", agent.Last<agent::LoadModel>()->key, "now there is room");
+  EXPECT_TEXT("b@1", agent.Last<agent::LoadModel>()->key, "memory is available now");
 }
 
 TEST(AgentMemory, StaysReservedWhileAnUnloadsOutcomeIsUnknown) {
@@ -254,8 +259,8 @@
   const agent::UnloadModel unload = *agent.Last<agent::UnloadModel>();
   agent.Handle(agent::UnloadEnded{"a@1", unload.operation_id, OperationOutcome::kUnknown});
   agent.Call("2", "b@1");
-  EXPECT_TRUE(agent.Last<agent::LoadModel>()->key != "b@1", "a@1 may still be there");
-  EXPECT_TEXT("", agent.RefusalOf("2"), "the engine's index may settle it in time");
+  EXPECT_TRUE(agent.Last<agent::LoadModel>()->key != "b@1", "a@1 may still be loaded");
+  EXPECT_TEXT("", agent.RefusalOf("2"), "the next inventory may resolve it in time");
 }
 
 TEST_GROUP(AgentUnloads) { Fixture agent; };
@@ -281,11 +286,13 @@
   agent.FinishLoad();
   agent.Handle(agent::UpstreamEnd{"1"});
   agent.Handle(agent::FrameArrived{1, RetireFrame{"a@1", 0, 1, 1}});
-  EXPECT_TEXT("x@1", agent.Last<agent::UnloadModel>()->key, "the adapter goes before its base");
+  EXPECT_TEXT("x@1", agent.Last<agent::UnloadModel>()->key,
+              "the adapter is unloaded before its base");
   const agent::UnloadModel adapter = *agent.Last<agent::UnloadModel>();
   agent.Handle(agent::UnloadEnded{"x@1", adapter.operation_id, OperationOutcome::kDone});
   agent.Tick(10);
-  EXPECT_TEXT("a@1", agent.Last<agent::UnloadModel>()->key, "then the base");
+  EXPECT_TEXT("a@1", agent.Last<agent::UnloadModel>()->key,
+              "the base is unloaded after its adapter");
 }
 
 TEST(AgentUnloads, AfterRunningCallsWhenLeaving) {
@@ -293,14 +300,14 @@
   agent.FinishLoad();
   agent.Call("2", "a@1");
   agent.Handle(agent::LeaveRequested{true, "test"});
-  EXPECT_TEXT("leaving", agent.RefusalOf("2"), "what has not run is refused at once");
-  EXPECT_NUMBER(0, agent.Count<agent::Exit>(), "the first still runs");
+  EXPECT_TEXT("leaving", agent.RefusalOf("2"), "queued calls are refused immediately");
+  EXPECT_NUMBER(0, agent.Count<agent::Exit>(), "the first call is still running");
   agent.Handle(agent::UpstreamEnd{"1"});
   const agent::UnloadModel unload = *agent.Last<agent::UnloadModel>();
   agent.Handle(agent::UnloadEnded{"a@1", unload.operation_id, OperationOutcome::kDone});
-  EXPECT_NUMBER(3, agent.Count<agent::FreeGrant>(), "all three slots are given back");
+  EXPECT_NUMBER(3, agent.Count<agent::FreeGrant>(), "all three slots are released");
   for (const char* it : {"a@1", "b@1", "c@1"}) agent.Handle(agent::GrantFreed{it, 1, true});
-  EXPECT_NUMBER(1, agent.Count<agent::Exit>(), "nothing is left to do");
+  EXPECT_NUMBER(1, agent.Count<agent::Exit>(), "the agent may exit");
 }
 
 }  // namespace junctionrail
--- a/test/entry_core_test.cc
+++ b/test/entry_core_test.cc
@@ -1,5 +1,5 @@
-// The entry's decisions as a story: where a call goes, when it goes elsewhere,
-// and when the caller is told.
+// Tests of EntryCore: routing, retries, responses and placement of an entry.
+// random_entry_test.cc tests the same code with random events.
 #include "junctionrail/entry_core.h"
 
 #include <algorithm>
@@ -9,7 +9,7 @@
 namespace junctionrail {
 namespace {
 
-// An entry before three engines; model a@1 has slots on vm-0 and vm-1.
+// An entry with three engines. Model a@1 has slots on vm-0 and vm-1.
 class Fixture {
  public:
   Fixture() : core(Options()) {
@@ -58,7 +58,7 @@
     Handle(std::move(call));
   }
 
-  // The newest attempt and where it went.
+  // The last attempt and its destination.
   const entry::SendFrame* LastCall() const {
     const auto it = std::find_if(commands.rbegin(), commands.rend(), [](const entry::Command& c) {
       const auto* sent = std::get_if<entry::SendFrame>(&c);
@@ -106,17 +106,18 @@
   EXPECT_TRUE(entry.LastCall()->vm != first, "the other replica is tried");
   entry.Refuse(RefusalCode::kQueueFull);
   EXPECT_TEXT("queue_full no", entry.LastRefusal(),
-              "no replica is left: the caller is told at once");
+              "no replica is left, so the caller gets the refusal");
 }
 
 TEST(EntryRetry, FollowsAnUnknownOutcomeOnlyForRepeatableCalls) {
   entry.Call("1", false);
   entry.Refuse(RefusalCode::kUpstreamFailed, Ran::kUnknown);
-  EXPECT_TEXT("upstream_failed unknown", entry.LastRefusal(), "a second run could double it");
+  EXPECT_TEXT("upstream_failed unknown", entry.LastRefusal(),
+              "a second attempt could run it twice");
   entry.Call("2", true);
   const std::string first = entry.LastCall()->vm;
   entry.Refuse(RefusalCode::kUpstreamFailed, Ran::kUnknown);
-  EXPECT_TRUE(entry.LastCall()->vm != first, "a repeatable call goes elsewhere");
+  EXPECT_TRUE(entry.LastCall()->vm != first, "a repeatable call is sent to another replica");
   entry.Refuse(RefusalCode::kQueueFull);
   EXPECT_TEXT("queue_full unknown", entry.LastRefusal(), "the first attempt may have run");
 }
@@ -127,7 +128,7 @@
     entry.Refuse(RefusalCode::kQueueFull);
     entry.Refuse(RefusalCode::kQueueFull);
   }
-  EXPECT_NUMBER(2, entry.core.counters().retries, "the reserve is 2 and nothing refills it");
+  EXPECT_NUMBER(2, entry.core.counters().retries, "retry_burst is 2 and retry_ratio is 0");
   EXPECT_NUMBER(1, entry.core.counters().retries_denied, "the third call is not retried");
 }
 
@@ -137,8 +138,9 @@
   entry.Handle(entry::FrameArrived{call.vm, HeadFrame{"1.1", 200, "text/event-stream", false, {}}});
   entry.Handle(entry::FrameArrived{call.vm, PieceFrame{"1.1", 0, "data"}});
   entry.Handle(entry::LinkClosed{call.vm, true});
-  EXPECT_TRUE(entry.Last<entry::AbortResponse>() != nullptr, "the caller is told that it broke");
-  EXPECT_NUMBER(1, entry.core.counters().attempts, "a second answer must not follow the first");
+  EXPECT_TRUE(entry.Last<entry::AbortResponse>() != nullptr,
+              "the caller must see that the response is incomplete");
+  EXPECT_NUMBER(1, entry.core.counters().attempts, "no second response may follow the first");
 }
 
 TEST_GROUP(EntryResponses) { Fixture entry; };
@@ -148,15 +150,15 @@
   const std::string vm = entry.LastCall()->vm;
   entry.Handle(entry::FrameArrived{vm, HeadFrame{"1.1", 200, "text/plain", false, {}}});
   entry.Handle(entry::FrameArrived{vm, PieceFrame{"1.1", 1, "second"}});
-  EXPECT_TRUE(entry.Last<entry::SendResponse>() == nullptr, "piece 0 is missing");
-  EXPECT_NUMBER(2, entry.core.counters().attempts, "the call is repeated instead");
+  EXPECT_TRUE(entry.Last<entry::SendResponse>() == nullptr, "chunk 0 is missing");
+  EXPECT_NUMBER(2, entry.core.counters().attempts, "the call is retried");
 }
 
 TEST(EntryResponses, RefuseACallAtItsDeadline) {
   entry.Call("1");
-  entry.now += 1051;  // The agent's own word is awaited for 50 ms.
+  entry.now += 1051;  // 50 ms are allowed for the agent's own reply.
   entry.Handle(entry::Ticked{});
-  EXPECT_TEXT("deadline_passed unknown", entry.LastRefusal(), "it was sent and may run");
+  EXPECT_TEXT("deadline_passed unknown", entry.LastRefusal(), "the call was sent and may have run");
 }
 
 TEST(EntryResponses, DropFramesOfCancelledCalls) {
@@ -177,7 +179,7 @@
   loaded.free_places = 16;
   entry.Handle(entry::FrameArrived{vm, HeadFrame{"1.1", 200, "text/plain", false, loaded}});
   entry.Call("2");
-  EXPECT_TEXT(vm, entry.LastCall()->vm, "the other is cold");
+  EXPECT_TEXT(vm, entry.LastCall()->vm, "the other replica is cold");
 }
 
 TEST(EntryRouting, AvoidsAnEjectedUpstream) {
@@ -187,8 +189,8 @@
     entry.Handle(entry::LinkClosed{vm, false});
     entry.Call(it);
   }
-  EXPECT_TRUE(entry.core.counters().ejections <= 1, "ejected once at most");
-  EXPECT_TRUE(entry.LastCall()->vm != vm, "its link would not open");
+  EXPECT_TRUE(entry.core.counters().ejections <= 1, "the upstream is ejected at most once");
+  EXPECT_TRUE(entry.LastCall()->vm != vm, "its link failed to open");
 }
 
 TEST(EntryRouting, ReplacesTheSlotsOfVmsThatAreGone) {
@@ -198,15 +200,16 @@
   entry.Handle(entry::VmsChanged{list});
   entry.Call("1");
   const auto* ask = entry.Last<entry::SendFrame>();
-  EXPECT_TEXT("vm-2", ask->vm, "only vm-2 is left to ask");
+  EXPECT_TEXT("vm-2", ask->vm, "only vm-2 is left");
   OfferFrame offer;
   offer.key = "a@1";
   offer.fits = true;
   entry.Handle(entry::FrameArrived{"vm-2", offer});
   const auto* write = entry.Last<entry::WriteGrant>();
   EXPECT_TRUE(write != nullptr, "the offer fits");
-  EXPECT_NUMBER(1, write->record.slots.size(), "one write drops both lost slots and adds the new");
-  EXPECT_NUMBER(3, write->record.last_token, "fencing tokens grow");
+  EXPECT_NUMBER(1, write->record.slots.size(),
+                "one write removes both lost slots and adds the new one");
+  EXPECT_NUMBER(3, write->record.last_token, "fencing tokens increase");
 }
 
 TEST(EntryRouting, RetiresAnAdapterWhoseBaseHasMoved) {
@@ -228,14 +231,14 @@
   entry.Handle(entry::GrantChanged{orphan});
   entry.Handle(entry::Ticked{});
   entry.record.revision = 3;
-  entry.record.slots.erase(entry.record.slots.begin());  // The base leaves vm-0.
+  entry.record.slots.erase(entry.record.slots.begin());  // The base is removed from vm-0.
   entry.Handle(entry::GrantChanged{entry.record});
   entry.now += 1000;
   entry.Handle(entry::Ticked{});
   const auto* sent = entry.Last<entry::SendFrame>();
   EXPECT_TRUE(sent != nullptr && std::holds_alternative<RetireFrame>(sent->frame),
-              "x@1 can never be served on vm-0 again");
-  EXPECT_TEXT("x@1", std::get<RetireFrame>(sent->frame).key, "the base itself stands");
+              "x@1 cannot be served on vm-0 any more");
+  EXPECT_TEXT("x@1", std::get<RetireFrame>(sent->frame).key, "the base keeps its slot");
 }
 
 TEST(EntryRouting, RetiresSlotsAboveTheDeclaredCount) {
@@ -247,8 +250,8 @@
   entry.now += 1000;
   entry.Handle(entry::Ticked{});
   const auto* sent = entry.Last<entry::SendFrame>();
-  EXPECT_TEXT("vm-1", sent->vm, "the highest slot goes first");
-  EXPECT_TRUE(std::holds_alternative<RetireFrame>(sent->frame), "its agent gives it back");
+  EXPECT_TEXT("vm-1", sent->vm, "the highest slot is retired first");
+  EXPECT_TRUE(std::holds_alternative<RetireFrame>(sent->frame), "the agent is asked to release it");
 }
 
 }  // namespace junctionrail
--- a/test/policy_test.cc
+++ b/test/policy_test.cc
@@ -1,5 +1,5 @@
-// Small parts of the decision logic: the idle policy, the memory ledger, the
-// at-most-once table and the record ring.
+// Tests of the smaller parts of the decision logic: idle policy, memory ledger,
+// idempotency table, burn rates and decision log.
 #include "check.h"
 #include "idempotency_table.h"
 #include "junctionrail/base.h"
@@ -16,18 +16,20 @@
 };
 
 TEST(IdleLimits, EqualTheBreakEvenTimeWithoutHistory) {
-  // A cold start of 0.4 s costs as much as holding for 40 s.
-  EXPECT_NUMBER(40000, IdleLimit(policy, history, 400), "rent or buy");
+  // A cold start of 0.4 s costs as much as keeping the model loaded for 40 s.
+  EXPECT_NUMBER(40000, IdleLimit(policy, history, 400), "the break-even time");
 }
 
 TEST(IdleLimits, CoverTheUsualGaps) {
   for (int n = 0; n < 20; ++n) history.AddGap(30000);
-  EXPECT_TRUE(IdleLimit(policy, history, 400) >= 30000, "calls every 30 s must stay warm");
+  EXPECT_TRUE(IdleLimit(policy, history, 400) >= 30000,
+              "a model called every 30 s must stay loaded");
 }
 
 TEST(IdleLimits, AreZeroWhenGapsAreLong) {
   for (int n = 0; n < 20; ++n) history.AddGap(3600000);
-  EXPECT_NUMBER(0, IdleLimit(policy, history, 400), "holding never pays for hourly calls");
+  EXPECT_NUMBER(0, IdleLimit(policy, history, 400),
+                "keeping the model for hourly calls costs more than a cold start");
 }
 
 TEST(IdleLimits, AreBoundedByTheLongestIdleTime) {
@@ -41,21 +43,21 @@
 };
 
 TEST(MemoryLedger, ReservesOnTheTightestFit) {
-  EXPECT_TRUE(ledger.ReserveOn(1, "a", 600), "an empty accelerator has room");
-  EXPECT_NUMBER(1, ledger.Reserve("b", 300).value_or(9), "the tighter one keeps the other whole");
-  EXPECT_NUMBER(0, ledger.Reserve("c", 500).value_or(9), "only accelerator 0 has room");
+  EXPECT_TRUE(ledger.ReserveOn(1, "a", 600), "the accelerator is empty");
+  EXPECT_NUMBER(1, ledger.Reserve("b", 300).value_or(9), "accelerator 1 has less free memory");
+  EXPECT_NUMBER(0, ledger.Reserve("c", 500).value_or(9), "only accelerator 0 has enough memory");
 }
 
 TEST(MemoryLedger, RefusesWhatDoesNotFit) {
-  EXPECT_TRUE(!ledger.Reserve("a", 1001).has_value(), "nothing is larger than an accelerator");
+  EXPECT_TRUE(!ledger.Reserve("a", 1001).has_value(), "no accelerator is that large");
   EXPECT_NUMBER(1000, ledger.LargestFree(), "a refusal reserves nothing");
 }
 
 TEST(MemoryLedger, AdoptsMemoryBeyondCapacity) {
   ledger.Adopt(0, "a", 1500);
-  EXPECT_NUMBER(0, ledger.FreeOn(0), "memory in use is in use");
+  EXPECT_NUMBER(0, ledger.FreeOn(0), "the memory in use exceeds the capacity");
   ledger.Release("a");
-  EXPECT_NUMBER(1000, ledger.FreeOn(0), "a confirmed unload gives all of it back");
+  EXPECT_NUMBER(1000, ledger.FreeOn(0), "a release returns all of it");
 }
 
 TEST_GROUP(IdempotencyTable){};
@@ -63,25 +65,26 @@
 TEST(IdempotencyTable, RejectsNewRowsWhenFull) {
   internal::IdempotencyTable table(1, 100);
   EXPECT_TRUE(table.Insert("a", 1, 10) != nullptr, "the first row fits");
-  EXPECT_TRUE(table.Insert("b", 1, 10) == nullptr, "evicting a row would let its repeat run");
+  EXPECT_TRUE(table.Insert("b", 1, 10) == nullptr,
+              "evicting a row would allow its call to run again");
 }
 
 TEST(IdempotencyTable, KeepsRunningRowsPastTheirExpiry) {
   internal::IdempotencyTable table(10, 100);
   table.Insert("a", 1, 10);
   table.EraseExpired(1000);
-  EXPECT_NUMBER(1, table.rows(), "a call that still runs must be remembered");
+  EXPECT_NUMBER(1, table.rows(), "the row of a running call must be kept");
 }
 
 TEST(IdempotencyTable, ReadsTheTimeOfAVersion7Uuid) {
   const auto time = internal::UuidV7Time("017f22e2-79b0-7cc3-98c4-dc0c0c07398f");
   EXPECT_NUMBER(1645557742000LL, time.value_or(0), "RFC 9562, appendix A.6");
   EXPECT_TRUE(!internal::UuidV7Time("017f22e2-79b0-4cc3-98c4-dc0c0c07398f").has_value(),
-              "a version 4 UUID carries no time");
+              "a version 4 UUID contains no time");
 }
 
 TEST_GROUP(BurnRates) {
-  Objectives objectives;  // 1200 ms for 95 in 100.
+  Objectives objectives;  // 1200 ms for 95% of the calls.
   BurnTracker ledger;
 };
 
@@ -107,7 +110,7 @@
   BurnTracker small(1);
   for (const char* it : {"a@1", "b@1", "c@1"})
     small.Add(1000, it, ClassifyResponse(objectives, 1, false));
-  EXPECT_NUMBER(2, small.Report(1000).size(), "a@1 and the others");
+  EXPECT_NUMBER(2, small.Report(1000).size(), "a@1 and one entry for the other keys");
 }
 
 TEST_GROUP(DecisionLogRecords){};
@@ -119,8 +122,8 @@
     record.request = it;
     log.Add(record);
   }
-  EXPECT_NUMBER(0, log.RecordsAbout("r1").size(), "the oldest goes first");
-  EXPECT_NUMBER(1, log.RecordsAbout("r3").size(), "the newest stays");
+  EXPECT_NUMBER(0, log.RecordsAbout("r1").size(), "the oldest record is evicted");
+  EXPECT_NUMBER(1, log.RecordsAbout("r3").size(), "the newest record is kept");
   EXPECT_NUMBER(1, log.evicted(), "an evicted record is counted");
 }
 
@@ -130,7 +133,7 @@
   record.request = "e-1-12.1";
   log.Add(record);
   EXPECT_NUMBER(1, log.RecordsAbout("e-1-12").size(), "an attempt belongs to its request");
-  EXPECT_NUMBER(0, log.RecordsAbout("e-1-1").size(), "a prefix is another request");
+  EXPECT_NUMBER(0, log.RecordsAbout("e-1-1").size(), "a prefix names another request");
 }
 
 }  // namespace junctionrail
--- a/test/random_agent_test.cc
+++ b/test/random_agent_test.cc
@@ -1,6 +1,6 @@
-// The agent's decisions under random events, with a fake engine, a fake grant
-// store and fake callers as judges. Orders may be refused, take effect and lose
-// their answer, or take effect late; the process may restart at any step.
+// Runs AgentCore against random events with a fake engine, grant store and callers,
+// which check its invariants. Operations may be refused, take effect with their
+// reply lost, or take effect late; the process may restart at any step.
 #include <cstdlib>
 #include <map>
 #include <optional>
@@ -30,13 +30,13 @@
   std::optional<std::int64_t> token;  // Held by this VM.
 };
 
-// An order or question that the agent's shell has sent and not heard back of.
+// A command in progress, whose result the agent has not received.
 struct Pending {
   agent::Command command;
-  agent::InventoryArrived snapshot;  // For inventories: as of the asking.
+  agent::InventoryArrived snapshot;  // For inventories: the state when queried.
 };
 
-// An order whose answer was lost and which may still take effect.
+// An operation whose reply was lost and which may still take effect.
 struct DelayedOperation {
   TimeMs at;
   agent::Command command;
@@ -79,7 +79,7 @@
     }
   }
 
-  // Lets everything under way end well, and checks that nothing is left.
+  // Completes everything in progress successfully and checks that no request remains.
   void Drain() {
     for (int n = 0; n < 400; ++n) {
       while (!pending_.empty()) Complete(0, 0, RandomChoices(0));
@@ -120,7 +120,7 @@
     CollectCommands(std::move(commands));
   }
 
-  // With JUNCTIONRAIL_TRACE set, says what happens; for reading a shrunk run.
+  // With JUNCTIONRAIL_TRACE set, prints each command, for reading a shrunk run.
   void Trace(const char* what, const agent::Command& command, int detail = 0) const {
     static const bool is_on = std::getenv("JUNCTIONRAIL_TRACE") != nullptr;
     if (!is_on) return;
@@ -154,22 +154,22 @@
 
   void RecordDispatch(const agent::Dispatch& dispatch) {
     Require(ever_dispatched_.insert(dispatch.id).second, "an attempt is dispatched once");
-    Require(!is_leaving_, "no dispatch by an agent that is leaving");
+    Require(!is_leaving_, "an agent that is leaving dispatches nothing");
     dispatched_[dispatch.id] = dispatch.key;
   }
 
-  // What callers' entries see.
+  // Checks what the entries receive.
   void CheckFrame(const Frame& frame) {
     if (const auto* refusal = std::get_if<RefusalFrame>(&frame)) {
       Require(ended_.insert(refusal->id).second, "an attempt ends once");
       const bool ran = ever_dispatched_.count(refusal->id) > 0 && unsent_.count(refusal->id) == 0;
       Require(refusal->refusal.ran == Ran::kUnknown || !ran,
-              "a refusal that says it did not run is true");
+              "a call reported as not run was not run");
     } else if (const auto* end = std::get_if<EndFrame>(&frame)) {
       Require(ended_.insert(end->id).second, "an attempt ends once");
-      Require(end->count == pieces_[end->id], "the end counts every piece");
+      Require(end->count == pieces_[end->id], "the end frame counts every chunk");
     } else if (const auto* piece = std::get_if<PieceFrame>(&frame)) {
-      Require(piece->sequence == pieces_[piece->id]++, "pieces are contiguous");
+      Require(piece->sequence == pieces_[piece->id]++, "chunks are contiguous");
     }
   }
 
@@ -196,7 +196,7 @@
 
   GrantView View(const ModelSpec& model, RandomChoices& choices) {
     const Slot& slot = slots_[model.key];
-    // Now and then an entry that lags presents a grant that is no more.
+    // Sometimes an entry that lags presents a grant that no longer exists.
     const bool is_stale = choices.Next(8) == 0 || !slot.token;
     const std::int64_t token =
         is_stale ? std::max<std::int64_t>(0, slot.last_token - 1) : *slot.token;
@@ -239,16 +239,17 @@
 
   void RareEvent(RandomChoices choices) {
     const std::uint32_t kind = choices.Next(12);
-    if (kind == 0) return StartProcess();  // The process dies; the engine and its orders do not.
-    if (kind == 1) {                       // The engine dies with all it held.
+    if (kind == 0)
+      return StartProcess();  // The process dies, but not the engine and its operations.
+    if (kind == 1) {          // The engine dies and loses its models.
       engine_.clear();
       delayed_.clear();
       for (auto& [id, key] : std::map<std::string, std::string>(dispatched_)) Fail(id, true);
       return;
     }
-    if (kind == 2 && !is_leaving_) {  // Until it exits or dies, calls still come.
+    if (kind == 2 && !is_leaving_) {  // Calls still arrive until it exits or dies.
       is_leaving_ = true;
-      return Handle(agent::LeaveRequested{choices.Next(2) == 0, "the test says so"});
+      return Handle(agent::LeaveRequested{choices.Next(2) == 0, "test"});
     }
     Advance(1);
   }
@@ -260,11 +261,11 @@
     Complete(n, outcome, choices);
   }
 
-  // Ends one pending order. Fates: 0-3 well, 4 refused, 5 done and the answer
-  // lost, 6 late and the answer lost, 7 lost on the way.
+  // Completes one pending command. Outcomes: 0-3 success, 4 refused, 5 done but the
+  // reply lost, 6 done late and the reply lost, 7 command lost.
   void Complete(std::size_t n, std::uint32_t outcome, RandomChoices choices) {
     const Pending pending = pending_[n];
-    Trace("settle", pending.command, static_cast<int>(outcome));
+    Trace("complete", pending.command, static_cast<int>(outcome));
     pending_.erase(pending_.begin() + static_cast<std::ptrdiff_t>(n));
     if (const auto* ask = std::get_if<agent::QueryInventory>(&pending.command)) {
       if (outcome >= 6) return Handle(agent::InventoryFailed{});
@@ -300,8 +301,8 @@
     Handle(agent::FenceDone{outcome == OperationOutcome::kDone});
   }
 
-  // Carries an order out at the engine or the grant store. False when the
-  // engine refuses it.
+  // Executes a command on the engine or the grant store. Returns false if the engine
+  // refuses it.
   bool Apply(const agent::Command& command) {
     Trace("apply", command);
     if (const auto* load = std::get_if<agent::LoadModel>(&command)) return ApplyLoad(*load);
@@ -312,12 +313,12 @@
     if (const auto* free = std::get_if<agent::FreeGrant>(&command)) {
       Slot& slot = slots_[free->key];
       if (slot.token != free->token) return true;
-      Require(engine_.count(free->key) == 0, "a slot is freed only when its model is gone");
+      Require(engine_.count(free->key) == 0, "a slot is freed only after its model is unloaded");
       for (const auto& it : delayed_) {
         const auto* load = std::get_if<agent::LoadModel>(&it.command);
-        const bool can_land = load != nullptr && load->key == free->key &&
-                              (!checks_fencing_ || load->operation_id >= newest_operation_);
-        Require(!can_land, "a slot is freed only when no load can still land");
+        const bool may_take_effect = load != nullptr && load->key == free->key &&
+                                     (!checks_fencing_ || load->operation_id >= newest_operation_);
+        Require(!may_take_effect, "a slot is freed only when no load can still take effect");
       }
       slot.token.reset();
     }
@@ -351,8 +352,8 @@
     const bool is_own = unload.operation_id >= first_operation_;
     for (const auto& [id, key] : std::map<std::string, std::string>(dispatched_)) {
       if (key != unload.key) continue;
-      // An engine that ignores fencing may still carry out what an earlier
-      // process ordered; the calls it cuts then end with an unknown outcome.
+      // An engine that ignores fencing may still execute an operation of an earlier
+      // process; the calls that this aborts end with an unknown outcome.
       Require(!is_own, "nothing in use is unloaded");
       Fail(id, true);
     }
@@ -417,7 +418,7 @@
   std::map<std::string, EngineModel> engine_;
   std::int64_t newest_operation_ = 0;
   std::map<std::string, Slot> slots_;
-  std::map<std::string, std::string> dispatched_;  // To key; at the upstream now.
+  std::map<std::string, std::string> dispatched_;  // Calls at the upstream: id to key.
   std::set<std::string> ever_dispatched_;
   std::set<std::string> unsent_;
   std::set<std::string> ended_;
@@ -432,7 +433,7 @@
 
 TEST(RandomAgent, UpholdsItsInvariants) {
   EXPECT_TRUE(RunRandomTest<AgentSimulation>("agent"),
-              "RapidCheck printed the shortest run that breaks");
+              "RapidCheck printed the shortest failing run");
 }
 
 }  // namespace junctionrail::test
--- a/test/random_entry_test.cc
+++ b/test/random_entry_test.cc
@@ -1,5 +1,5 @@
-// The entry's decisions under random events, with fake agents, a fake grant
-// store that other entries also write, and fake callers as judges.
+// Runs EntryCore against random events with fake agents, a fake grant store that
+// other entries also write, and fake callers, which check its invariants.
 #include <algorithm>
 #include <cstdlib>
 #include <map>
@@ -18,7 +18,7 @@
 constexpr std::uint32_t kEngines = 4;
 constexpr std::uint32_t kServices = 2;
 
-// One attempt as an agent sees it.
+// One attempt at an agent.
 struct Attempt {
   std::string vm;
   CallFrame call;
@@ -82,7 +82,7 @@
       Advance(500);
     }
     Require(core_->open_calls() == 0, "every call ends");
-    for (const auto& [id, it] : callers_) Require(it.is_over, "every caller is told");
+    for (const auto& [id, it] : callers_) Require(it.is_over, "every caller gets a result");
   }
 
  private:
@@ -92,14 +92,14 @@
     for (auto& it : commands) std::visit([this](auto& command) { OnCommand(command); }, it);
   }
 
-  // ---- What the entry orders ----
+  // ---- Commands of the entry ----
 
   void OnCommand(entry::SendFrame& command) {
     if (auto* call = std::get_if<CallFrame>(&command.frame)) {
       Caller& caller = callers_.at(call->id.substr(0, call->id.rfind('.')));
       Require(caller.is_repeatable || !caller.may_have_run,
               "a call that may not be repeated runs at most once");
-      Require(!caller.is_over, "nothing is sent for a call that is over");
+      Require(!caller.is_over, "nothing is sent for a call that has ended");
       const std::string id = call->id;
       attempts_[id] = Attempt{command.vm, std::move(*call), 0, false};
     } else if (const auto* cancel = std::get_if<CancelFrame>(&command.frame)) {
@@ -113,17 +113,17 @@
 
   Caller& Open(const std::string& id) {
     Caller& caller = callers_.at(id);
-    Require(!caller.is_over, "an answer ends once");
+    Require(!caller.is_over, "a response ends once");
     return caller;
   }
   void OnCommand(entry::SendResponseHead& command) {
     Caller& caller = Open(command.id);
-    Require(!caller.has_head, "an answer has one head");
+    Require(!caller.has_head, "a response has one head");
     caller.has_head = true;
   }
   void OnCommand(entry::SendResponseChunk& command) {
     Caller& caller = Open(command.id);
-    Require(caller.has_head, "the head comes first");
+    Require(caller.has_head, "the head precedes the data");
     caller.body += command.data;
   }
   void OnCommand(entry::EndResponse& command) {
@@ -133,21 +133,21 @@
   }
   void OnCommand(entry::SendResponse& command) {
     Caller& caller = Open(command.id);
-    Require(!caller.has_head, "a whole answer brings its own head");
+    Require(!caller.has_head, "a complete response includes its head");
     CheckBody(command.id, command.body);
     caller.is_over = true;
   }
   void OnCommand(entry::SendRefusal& command) {
     Caller& caller = Open(command.id);
-    Require(!caller.has_head, "a refusal is no continuation");
+    Require(!caller.has_head, "no refusal follows a response head");
     Require(command.refusal.ran == Ran::kUnknown || !caller.may_have_run,
-            "a refusal that says it did not run is true");
+            "a call reported as not run was not run");
     caller.is_over = true;
   }
   void OnCommand(entry::AbortResponse& command) { Open(command.id).is_over = true; }
 
-  // Pieces name their attempt and number: an answer is whole, in order, and of
-  // one attempt of its own request.
+  // Chunks contain their attempt and number: checks that a response is complete, in
+  // order, and from one attempt of its own request.
   static void CheckBody(const std::string& id, const std::string& body) {
     std::string attempt;
     std::size_t at = 0;
@@ -155,16 +155,16 @@
     while (at < body.size()) {
       const std::size_t colon = body.find(':', at);
       const std::size_t end = body.find(';', at);
-      Require(end != std::string::npos, "no piece is cut");
+      Require(end != std::string::npos, "no chunk is truncated");
       const std::string from = body.substr(at, colon - at);
       if (attempt.empty()) attempt = from;
-      Require(from == attempt, "an answer comes from one attempt");
-      Require(from.substr(0, from.rfind('.')) == id, "an answer belongs to its request");
+      Require(from == attempt, "a response comes from one attempt");
+      Require(from.substr(0, from.rfind('.')) == id, "a response belongs to its request");
       Require(body.substr(colon + 1, end - colon - 1) == std::to_string(n++),
-              "pieces are in order");
+              "chunks are in order");
       at = end + 1;
     }
-    Require(n > 0, "an answer is not empty");
+    Require(n > 0, "a response is not empty");
   }
 
   void OnCommand(entry::WriteGrant& command) {
@@ -179,7 +179,7 @@
   }
   void OnCommand(entry::ReadConfiguration&) { Handle(entry::ConfigurationRead{configuration_}); }
 
-  // ---- The world ----
+  // ---- Simulated environment ----
 
   std::size_t Declared(const std::string& key) const {
     const auto it = configuration_.models().find(key);
@@ -222,7 +222,7 @@
       info.role = VmRole::kEntry;
       list.vms.push_back(info);
     }
-    // The fake fleet's own memory of attempts goes with the VM.
+    // Attempts at a replaced VM are dropped by LoseAttempts.
     Handle(entry::VmsChanged{list});
   }
 
@@ -268,7 +268,7 @@
         return Deliver(
             vm, RefusalFrame{id, Refusal{RefusalCode::kUpstreamFailed, "", Ran::kUnknown, 0}, {}});
       }
-      case 2: {  // A piece is lost on the way.
+      case 2: {  // A chunk is lost.
         attempt.sent += 1;
         return;
       }
@@ -323,7 +323,7 @@
     Deliver(attempt.vm, EndFrame{id, attempt.sent, {ReplicaState::kLoaded, 0, 0, 0, false}});
   }
 
-  // Frames of attempts that are over, and frames said twice.
+  // Sends frames of attempts that have ended, and duplicate frames.
   void SendStaleFrames(RandomChoices& choices) {
     if (cancelled_.empty()) return;
     const std::string id = cancelled_[choices.Next(static_cast<std::uint32_t>(cancelled_.size()))];
@@ -350,7 +350,8 @@
     Complete(choices.Next(static_cast<std::uint32_t>(writes_.size())), choices.Next(6));
   }
 
-  // Fates: 0-3 answered, 4 done and the answer lost, 5 lost on the way.
+  // Completes one write or read. Outcomes: 0-3 success, 4 done but the reply lost, 5
+  // request lost.
   void Complete(std::size_t n, std::uint32_t outcome) {
     const Write write = writes_[n];
     writes_.erase(writes_.begin() + static_cast<std::ptrdiff_t>(n));
@@ -371,7 +372,7 @@
   bool CompareAndSwap(const GrantRecord& record) {
     GrantRecord& stored = Stored(record.key);
     if (stored.revision != record.revision) return false;
-    Require(record.last_token >= stored.last_token, "fencing tokens never fall");
+    Require(record.last_token >= stored.last_token, "fencing tokens never decrease");
     stored = record;
     stored.revision = ++revision_;
     return true;
@@ -394,7 +395,7 @@
   void Close(RandomChoices choices) {
     const std::uint32_t n = choices.Next(kEngines + kServices);
     const std::string vm = "vm-" + std::to_string(n);
-    // A link that has carried a frame was open.
+    // A link that has delivered a frame was open.
     const bool was_open = open_.erase(vm) > 0 || choices.Next(2) == 0;
     LoseAttempts(vm, was_open);
     Handle(entry::LinkClosed{vm, was_open});
@@ -406,7 +407,7 @@
         ++it;
         continue;
       }
-      // A link that never opened has delivered nothing.
+      // A link that never opened has delivered no call.
       if (may_have_run) callers_.at(it->first.substr(0, it->first.rfind('.'))).may_have_run = true;
       cancelled_.push_back(it->first);
       it = attempts_.erase(it);
@@ -433,7 +434,7 @@
         leaving_.erase(n);
         LoseAttempts("vm-" + std::to_string(n), true);
         return ListVms();
-      case 3:  // A peer or a slow read may be behind.
+      case 3:  // A peer or a slow read may return an old configuration.
         return Handle(entry::ConfigurationRead{old_configuration_});
       case 2:
         leaving_.insert(n);
@@ -473,7 +474,7 @@
 
 TEST(RandomEntry, UpholdsItsInvariants) {
   EXPECT_TRUE(RunRandomTest<EntrySimulation>("entry"),
-              "RapidCheck printed the shortest run that breaks");
+              "RapidCheck printed the shortest failing run");
 }
 
 }  // namespace junctionrail::test
--- a/test/support/check.h
+++ b/test/support/check.h
@@ -1,5 +1,5 @@
-// CppUTest's harness with its leak detection's macros off, so that standard
-// headers may follow it.
+// Includes the CppUTest harness without the macros of its leak detection, so that
+// standard headers may be included after it.
 #ifndef JUNCTIONRAIL_TEST_SUPPORT_CHECK_H_
 #define JUNCTIONRAIL_TEST_SUPPORT_CHECK_H_
 
@@ -8,7 +8,7 @@
 #define CPPUTEST_MEM_LEAK_DETECTION_DISABLED
 #include <CppUTest/TestHarness.h>
 
-// Fails with what was expected, what was got, and what to look at.
+// Compares two strings. The failure message has both values and `hint`.
 #define EXPECT_TEXT(expected, got, hint)                                                         \
   do {                                                                                           \
     const std::string expected_text(expected);                                                   \
--- a/test/support/random_run.h
+++ b/test/support/random_run.h
@@ -1,6 +1,6 @@
-// Randomised runs: RapidCheck makes a list of words, a world turns each word
-// into one step, and a broken invariant or a judge's complaint fails the run
-// and is shrunk. The seed and number of runs come from RC_PARAMS.
+// Randomized tests: RapidCheck generates a list of numbers, and a simulation turns
+// each number into one step. A violated invariant or a failed Require fails the run,
+// which RapidCheck then shrinks. RC_PARAMS sets the seed and the number of runs.
 #ifndef JUNCTIONRAIL_TEST_SUPPORT_RANDOM_RUN_H_
 #define JUNCTIONRAIL_TEST_SUPPORT_RANDOM_RUN_H_
 
@@ -16,7 +16,7 @@
 
 namespace junctionrail::test {
 
-// What a world throws when the code under test breaks a promise.
+// Thrown when the code under test violates an invariant.
 struct InvariantViolation : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
@@ -25,7 +25,8 @@
   if (!holds) throw InvariantViolation(sentence);
 }
 
-// A word's parts: the first Take chooses the step, later ones its details.
+// Pseudo-random choices derived from one number: the first Next selects the step,
+// later ones its details.
 class RandomChoices {
  public:
   explicit RandomChoices(std::uint32_t bits) : bits_(bits * 2654435761U) {}
@@ -39,7 +40,7 @@
   std::uint32_t bits_;
 };
 
-// Runs `World` over random words; returns whether every run held.
+// Runs `Simulation` on random lists of steps. Returns whether every run passed.
 template <class Simulation>
 bool RunRandomTest(const char* name) {
   constexpr int kMaxSteps = 400;
