--- a/src/core/agent_grants.cc
+++ b/src/core/agent_grants.cc
@@ -80,9 +80,9 @@
   // No model is known to be absent before the first inventory, nor while an
   // operation of an earlier process may still take effect.
   if (!inventory_known_ || !engine_fenced_) return;
-  const bool is_quiet =
+  const bool has_no_work =
       replica.running == 0 && replica.operation_id == 0 && !replica.is_outcome_unknown;
-  if (!is_quiet) return;
+  if (!has_no_work) return;
   if (replica.state == ReplicaState::kLoaded) {
     if (!HasAdapter(replica.key)) StartUnload(replica, "its slot is being released");
     return;
@@ -128,8 +128,8 @@
     for (auto& [key, it] : replicas_) {
       if (it.grant == GrantState::kHeld) it.grant = GrantState::kRetiring;
       ContinueRetiring(it);
-      const bool stays = it.grant != GrantState::kNone || it.state != ReplicaState::kAbsent;
-      is_empty = is_empty && !stays;
+      const bool is_still_held = it.grant != GrantState::kNone || it.state != ReplicaState::kAbsent;
+      is_empty = is_empty && !is_still_held;
     }
     if (!is_empty) return;
   }
--- a/src/core/agent_replicas.cc
+++ b/src/core/agent_replicas.cc
@@ -87,11 +87,12 @@
   UpdateFence(event.query_id);
   bool is_unsettled = false;
   for (const auto& [key, it] : replicas_) {
-    const bool moves = it.state == ReplicaState::kLoading || it.state == ReplicaState::kUnloading;
-    is_unsettled = is_unsettled || it.is_outcome_unknown || (moves && it.operation_id == 0);
+    const bool is_changing =
+        it.state == ReplicaState::kLoading || it.state == ReplicaState::kUnloading;
+    is_unsettled = is_unsettled || it.is_outcome_unknown || (is_changing && it.operation_id == 0);
   }
-  const bool soon = is_unsettled || !engine_fenced_;
-  next_query_at_ = now_ + (soon ? kUnsettledQueryMs : options_.inventory_period_ms);
+  const bool query_soon = is_unsettled || !engine_fenced_;
+  next_query_at_ = now_ + (query_soon ? kUnsettledQueryMs : options_.inventory_period_ms);
 }
 
 // Whether an operation of unknown outcome can no longer take effect.
@@ -290,8 +291,9 @@
           replica, Refusal{RefusalCode::kNotGranted, "this upstream holds no grant for the base",
                            Ran::kNo, kShortRetryMs});
     }
-    const auto home = ledger_.AcceleratorOf(replica.base);
-    if (home && ledger_.ReserveOn(*home, replica.key, replica.memory_mb)) accelerator = home;
+    const auto base_accelerator = ledger_.AcceleratorOf(replica.base);
+    if (base_accelerator && ledger_.ReserveOn(*base_accelerator, replica.key, replica.memory_mb))
+      accelerator = base_accelerator;
   }
   if (!accelerator) {
     if (EvictToFit(replica)) return;
@@ -392,20 +394,20 @@
   std::uint64_t room = ledger_.FreeOn(accelerator);
   for (const auto& [key, it] : replicas_) {
     if (ledger_.AcceleratorOf(key) != accelerator) continue;
-    const bool comes_free = it.state == ReplicaState::kUnloading || IsEvictable(it);
-    if (comes_free) room += ledger_.MemoryOf(key);
+    const bool will_be_freed = it.state == ReplicaState::kUnloading || IsEvictable(it);
+    if (will_be_freed) room += ledger_.MemoryOf(key);
   }
   return room;
 }
 
 bool AgentImpl::CouldFit(std::uint64_t memory_mb, const std::string& base) const {
-  const auto home = ledger_.AcceleratorOf(base);
-  if (!base.empty() && home) {
+  const auto base_accelerator = ledger_.AcceleratorOf(base);
+  if (!base.empty() && base_accelerator) {
     // Unloading the base cannot free memory for its own adapter.
     const auto it = replicas_.find(base);
     const std::uint64_t own =
         it != replicas_.end() && IsEvictable(it->second) ? ledger_.MemoryOf(base) : 0;
-    return AvailableOn(*home) >= memory_mb + own;
+    return AvailableOn(*base_accelerator) >= memory_mb + own;
   }
   for (std::uint32_t n = 0; n < ledger_.accelerators(); ++n) {
     if (AvailableOn(n) >= memory_mb) return true;
@@ -421,24 +423,24 @@
 // false if that cannot free enough memory.
 bool AgentImpl::EvictToFit(const Replica& wanted) {
   if (!CouldFit(wanted)) return false;
-  const auto home = ledger_.AcceleratorOf(wanted.base);
-  std::optional<std::uint32_t> target = wanted.base.empty() ? std::nullopt : home;
+  const auto base_accelerator = ledger_.AcceleratorOf(wanted.base);
+  std::optional<std::uint32_t> target = wanted.base.empty() ? std::nullopt : base_accelerator;
   for (std::uint32_t n = 0; !target && n < ledger_.accelerators(); ++n) {
     if (AvailableOn(n) >= wanted.memory_mb) target = n;
   }
   if (!target) return false;
-  std::uint64_t coming = ledger_.FreeOn(*target);
+  std::uint64_t expected_free_mb = ledger_.FreeOn(*target);
   std::vector<Replica*> idle;
   for (auto& [key, it] : replicas_) {
     if (ledger_.AcceleratorOf(key) != target) continue;
-    if (it.state == ReplicaState::kUnloading) coming += ledger_.MemoryOf(key);
+    if (it.state == ReplicaState::kUnloading) expected_free_mb += ledger_.MemoryOf(key);
     if (IsEvictable(it) && key != wanted.base) idle.push_back(&it);
   }
   std::sort(idle.begin(), idle.end(),
             [](const Replica* a, const Replica* b) { return a->idle_since < b->idle_since; });
   for (Replica* it : idle) {
-    if (coming >= wanted.memory_mb) break;
-    coming += ledger_.MemoryOf(it->key);
+    if (expected_free_mb >= wanted.memory_mb) break;
+    expected_free_mb += ledger_.MemoryOf(it->key);
     Evict(*it);
   }
   return true;
--- a/src/core/entry_placement.cc
+++ b/src/core/entry_placement.cc
@@ -118,20 +118,20 @@
 std::vector<const Upstream*> EntryImpl::PlacementOrder(const std::string& key) const {
   const ModelDeclaration* model = configuration_.Resolve(key);
   struct Ranked {
-    bool knows;
+    bool has_report;
     std::uint64_t score;
     const Upstream* upstream;
   };
   std::vector<Ranked> ranking;
   for (const auto& [vm, it] : upstreams_) {
-    const bool is_fit = it.info.role == VmRole::kEngine && it.is_listed && !IsLeaving(it) &&
-                        !IsEjected(it) && SlotOn(key, it.info) == nullptr;
+    const bool is_eligible = it.info.role == VmRole::kEngine && it.is_listed && !IsLeaving(it) &&
+                             !IsEjected(it) && SlotOn(key, it.info) == nullptr;
     const bool has_base = !model->IsAdapter() || SlotOn(model->base, it.info) != nullptr;
-    if (!is_fit || !has_base) continue;
+    if (!is_eligible || !has_base) continue;
     ranking.push_back({it.reports.count(key) > 0, RendezvousScore(key, vm), &it});
   }
   std::sort(ranking.begin(), ranking.end(), [](const Ranked& a, const Ranked& b) {
-    if (a.knows != b.knows) return a.knows;
+    if (a.has_report != b.has_report) return a.has_report;
     return a.score > b.score;
   });
   std::vector<const Upstream*> order;
@@ -208,8 +208,8 @@
 // hall without a slot, then rendezvous order, so that models requested at the same
 // time do not all go to the upstream that replies first.
 void EntryImpl::ChooseOffer(const std::string& key, Placement& placement) {
-  std::set<std::string> halls;
-  for (const auto& slot : LiveSlots(key)) halls.insert(upstreams_.at(slot.vm).info.data_hall);
+  std::set<std::string> used_halls;
+  for (const auto& slot : LiveSlots(key)) used_halls.insert(upstreams_.at(slot.vm).info.data_hall);
   struct Choice {
     std::size_t n;
     bool is_new_hall;
@@ -219,13 +219,13 @@
     const OfferFrame& offer = placement.offers[n];
     const std::string& vm = placement.offer_vms[n];
     const auto upstream = upstreams_.find(vm);
-    const bool is_fit = offer.fits && !offer.leaving && upstream != upstreams_.end() &&
-                        upstream->second.is_listed && !IsLeaving(upstream->second);
-    if (!is_fit) {
+    const bool is_eligible = offer.fits && !offer.leaving && upstream != upstreams_.end() &&
+                             upstream->second.is_listed && !IsLeaving(upstream->second);
+    if (!is_eligible) {
       placement.rejected.push_back({vm, offer.leaving ? "leaving" : "no room"});
       continue;
     }
-    const Choice choice{n, halls.count(upstream->second.info.data_hall) == 0};
+    const Choice choice{n, used_halls.count(upstream->second.info.data_hall) == 0};
     if (!best) {
       best = choice;
       continue;
--- a/src/core/entry_routing.cc
+++ b/src/core/entry_routing.cc
@@ -171,10 +171,10 @@
 void EntryImpl::RouteToService(EntryCall& call) {
   std::vector<RejectedCandidate> rejected;
   const Upstream* chosen = nullptr;
-  std::string why = "the least loaded";
+  std::string reason = "the least loaded";
   if (!call.call.idempotency_key.empty()) {
     chosen = KeyOwnerOf(call);
-    why = "the owner of its idempotency key";
+    reason = "the owner of its idempotency key";
   } else {
     const auto candidates = CandidatesFor(call, &rejected);
     if (!candidates.empty()) chosen = Pick(candidates).upstream;
@@ -185,8 +185,8 @@
     RecordDecision(call.call.id, call.key, {}, "no upstream is left", {}, std::move(rejected));
     return Refuse(call, call.last_refusal.value_or(none));
   }
-  RecordDecision(call.call.id, call.key, chosen->info.vm, "sent to " + chosen->info.vm + ": " + why,
-                 {}, std::move(rejected));
+  RecordDecision(call.call.id, call.key, chosen->info.vm,
+                 "sent to " + chosen->info.vm + ": " + reason, {}, std::move(rejected));
   SendAttempt(call, *chosen);
 }
 
