--- a/src/daemon/entry_hosting.cc
+++ b/src/daemon/entry_hosting.cc
@@ -23,7 +23,7 @@
 constexpr std::uint64_t kOwnLink = 0;
 
 std::string ToValue(const HostClaim& claim) {
-  return nlohmann::json{{"entry", claim.entry}, {"link", claim.link.ToString()}}.dump();
+  return nlohmann::json{{"entry", claim.entry}, {"link", claim.demand_endpoint.ToString()}}.dump();
 }
 
 std::optional<HostClaim> ReadClaim(const platform::StoreItem& item) {
@@ -31,7 +31,7 @@
   HostClaim claim;
   const bool is_whole = value.is_object() && value.contains("entry") && value.contains("link") &&
                         value["entry"].is_string() && value["link"].is_string() &&
-                        ParseEndpoint(value["link"].get<std::string>(), &claim.link);
+                        ParseEndpoint(value["link"].get<std::string>(), &claim.demand_endpoint);
   if (!is_whole) return std::nullopt;
   claim.engine = item.key.substr(kClaims.size());
   claim.entry = value["entry"].get<std::string>();
@@ -46,16 +46,16 @@
   return endpoint;
 }
 
-HostElection::Port ToElectionPort(PortState state) {
+HostElection::ProbeResult ToElectionPort(PortState state) {
   switch (state) {
     case PortState::kOpen:
-      return HostElection::Port::kOpen;
+      return HostElection::ProbeResult::kOpen;
     case PortState::kRefused:
-      return HostElection::Port::kRefused;
+      return HostElection::ProbeResult::kRefused;
     case PortState::kSilent:
-      return HostElection::Port::kSilent;
+      return HostElection::ProbeResult::kNoAnswer;
   }
-  return HostElection::Port::kSilent;
+  return HostElection::ProbeResult::kNoAnswer;
 }
 
 }  // namespace
@@ -97,15 +97,15 @@
 }
 
 void EntryHosting::OnLinkEnd(std::uint64_t link, std::string_view bytes) {
-  UpstreamEnd end;
-  if (!DecodeEnd(bytes, &end)) return log_.Write(MonotonicMs(), "end_malformed", {});
+  UpstreamCrash end;
+  if (!DecodeCrash(bytes, &end)) return log_.Write(MonotonicMs(), "end_malformed", {});
   EngineKeeper* keeper = KeeperOf(link);
   if (keeper != nullptr) keeper->OnEnd(end);
 }
 
 void EntryHosting::OnLinkQuotaAsk(std::uint64_t link, std::string_view bytes) {
-  QuotaAsk ask;
-  if (!DecodeQuotaAsk(bytes, &ask)) return log_.Write(MonotonicMs(), "quota_malformed", {});
+  QuotaRequest ask;
+  if (!DecodeQuotaRequest(bytes, &ask)) return log_.Write(MonotonicMs(), "quota_malformed", {});
   EngineKeeper* keeper = KeeperOf(link);
   if (keeper != nullptr) keeper->OnQuotaAsk(link, ask);
 }
@@ -118,8 +118,8 @@
 }
 
 void EntryHosting::OnLinkDemand(std::uint64_t link, std::string_view bytes) {
-  if (IsEndMessage(bytes)) return OnLinkEnd(link, bytes);
-  if (IsQuotaAsk(bytes)) return OnLinkQuotaAsk(link, bytes);
+  if (IsCrashMessage(bytes)) return OnLinkEnd(link, bytes);
+  if (IsQuotaRequest(bytes)) return OnLinkQuotaAsk(link, bytes);
   AgentDemand demand;
   if (!DecodeDemand(bytes, &demand)) {
     log_.Write(MonotonicMs(), "demand_malformed", {});
@@ -164,10 +164,10 @@
   const TimeMs now = MonotonicMs();
   std::vector<std::string> engines;
   for (const auto& it : unseen) engines.push_back(it.ToString());
-  election_.SetUnseen(engines, now);
+  election_.SetEnginesWithoutView(engines, now);
   DropLost();
-  for (const auto& it : election_.PortsToLookAt(now)) Look(it);
-  if (!election_.WantsClaims()) return;
+  for (const auto& it : election_.EnginesToProbe(now)) Look(it);
+  if (!election_.NeedsClaims()) return;
   ReadClaims(now);
   if (lease_ != 0) KeepLease(now);
   for (const auto& it : election_.EnginesToRelease()) Release(it);
@@ -180,7 +180,7 @@
 void EntryHosting::Look(const std::string& engine) {
   const Endpoint port{AddressOf(engine).address, options_.link.port};
   LookAtPort(io_, port, kLookTimeoutMs, [self = shared_from_this(), engine](PortState found) {
-    self->election_.OnPort(engine, ToElectionPort(found), MonotonicMs());
+    self->election_.OnProbe(engine, ToElectionPort(found), MonotonicMs());
   });
 }
 
@@ -219,7 +219,7 @@
       return;
     }
     self->lease_ = lease.value();
-    self->election_.OnLeaseKept(now, kLeaseMs);
+    self->election_.OnLeaseRenewed(now, kLeaseMs);
   });
 }
 
@@ -229,8 +229,8 @@
   lease_asked_at_ = now;
   store_.KeepLease(lease_, [self = shared_from_this(), now](platform::LeaseState state) {
     self->is_calling_lease_ = false;
-    if (state == platform::LeaseState::kKept) return self->election_.OnLeaseKept(now, kLeaseMs);
-    if (state == platform::LeaseState::kUnknown) return;  // It may still hold; see FenceFor.
+    if (state == platform::LeaseState::kKept) return self->election_.OnLeaseRenewed(now, kLeaseMs);
+    if (state == platform::LeaseState::kUnknown) return;  // It may still hold; see FencingTokenFor.
     self->LeaveLease();
   });
 }
@@ -284,7 +284,7 @@
     links_.Send(link, bytes);
   };
   callbacks.fence = [this, name = claim.engine] {
-    const std::int64_t revision = election_.FenceFor(name, MonotonicMs());
+    const std::int64_t revision = election_.FencingTokenFor(name, MonotonicMs());
     return revision == 0 ? 0 : platform::StorePlace{store_.era(), revision}.ToToken();
   };
   // The claim's revision is the highest there is for this engine.
@@ -303,7 +303,7 @@
 
 // Those whose claim is no longer held.
 void EntryHosting::DropLost() {
-  const auto held = election_.Hosted();
+  const auto held = election_.HostedEngines();
   for (auto it = hosted_.begin(); it != hosted_.end();) {
     if (Contains(held, it->first)) {
       ++it;
@@ -322,7 +322,7 @@
 
 void EntryHosting::Release(const std::string& engine) {
   platform::StoreCommit commit;
-  const HostClaim* claim = election_.ClaimOf(engine);
+  const HostClaim* claim = election_.FindClaim(engine);
   const std::string key = HostKey(AddressOf(engine));
   if (claim != nullptr) commit.conditions.push_back({key, claim->revision});
   commit.removals.push_back(key);
@@ -341,20 +341,20 @@
   if (it != hosted_.end()) it->second.keeper->OnDemand(kOwnLink, demand);
 }
 
-void EntryHosting::OnEnd(const Endpoint& engine, const UpstreamEnd& end) {
+void EntryHosting::OnEnd(const Endpoint& engine, const UpstreamCrash& end) {
   const auto it = hosted_.find(engine.ToString());
   if (it != hosted_.end()) it->second.keeper->OnEnd(end);
 }
 
-void EntryHosting::OnQuotaAsk(const Endpoint& engine, const QuotaAsk& ask) {
+void EntryHosting::OnQuotaAsk(const Endpoint& engine, const QuotaRequest& ask) {
   const auto it = hosted_.find(engine.ToString());
   if (it != hosted_.end()) it->second.keeper->OnQuotaAsk(kOwnLink, ask);
 }
 
 std::optional<Endpoint> EntryHosting::LinkOf(const Endpoint& engine) const {
-  const HostClaim* claim = election_.ClaimOf(engine.ToString());
+  const HostClaim* claim = election_.FindClaim(engine.ToString());
   if (claim == nullptr) return std::nullopt;
-  return claim->link;
+  return claim->demand_endpoint;
 }
 
 }  // namespace junctionrail::internal
