--- a/include/junctionrail/tenancy.h
+++ b/include/junctionrail/tenancy.h
@@ -1,6 +1,6 @@
-// Organisations: by whose key a caller is known, how much each may send over all
-// entries together, and up to when a configuration is known to be the newest.
-// Decisions only; the time is handed in and nothing here opens a socket.
+// Organisations (tenants): API keys, quotas that apply across all entries, and the freshness of
+// the configuration. This layer is free of I/O: callers pass the current time and transport the
+// messages.
 #ifndef JUNCTIONRAIL_TENANCY_H_
 #define JUNCTIONRAIL_TENANCY_H_
 
@@ -22,20 +22,20 @@
 
 namespace junctionrail {
 
-// --- Keys ---
+// --- API keys ---
 
-// Stands for a key wherever the key itself is not kept.
+// SHA-256 digest of an API key; the key itself is not stored.
 using KeyDigest = Sha256Digest;
 KeyDigest DigestOfKey(std::string_view key);
 
 enum class QuotaUnit { kRequests, kTokens };
 
-// What an organisation may send over all entries together.
+// Rate limit of an organisation, shared by all entries.
 struct Quota {
   QuotaUnit unit = QuotaUnit::kRequests;
-  double rate_per_s = 0;      // 0: no limit.
-  double burst = 0;           // So much at once, beyond the rate.
-  double default_tokens = 1;  // What a request counts for that names no tokens.
+  double rate_per_s = 0;      // 0 means unlimited.
+  double burst = 0;           // Capacity of the token bucket.
+  double default_tokens = 1;  // Cost of a request that does not state its token usage.
 
   bool IsLimited() const { return rate_per_s > 0; }
 };
@@ -43,7 +43,7 @@
 struct Organisation {
   std::string name;
   std::vector<KeyDigest> keys;
-  std::optional<int> priority;  // Goes before that of a route.
+  std::optional<int> priority;  // Overrides the priority of the route.
   Quota quota;
 };
 
@@ -53,12 +53,12 @@
   OrganisationTable() = default;
   explicit OrganisationTable(std::vector<Organisation> organisations);
 
-  // Null where no organisation holds the key.
+  // Returns nullptr if no organisation has the key.
   const Organisation* FindByKey(const KeyDigest& key) const;
   const std::vector<Organisation>& all() const { return organisations_; }
 
  private:
-  // A digest is as good a hash as any.
+  // The leading bytes of a SHA-256 digest are uniformly distributed and serve as the hash.
   struct KeyDigestHash {
     std::size_t operator()(const KeyDigest& key) const {
       std::size_t hash = 0;
@@ -71,21 +71,21 @@
   std::unordered_map<KeyDigest, std::size_t, KeyDigestHash> by_key_;
 };
 
-// --- The age of a configuration ---
+// --- Configuration freshness ---
 
-// Which configuration is in force here, and up to which moment it is known to have
-// been the newest one.
+// Tracks the version of the active configuration and the latest time at which that version is
+// known to have been the newest one.
 class ConfigurationFreshness {
  public:
-  // It was put in force; nobody has vouched for it yet.
+  // Activates `version`. The confirmation time stays as it is.
   void OnApplied(std::uint64_t version);
-  // Whoever knows showed `version` as the newest, by an answer to a question that was
-  // asked at `as_of`; what was written since may not be in it. False when that is a later
-  // one than is in force here, which is to be read first.
+  // Records that `version` was reported as the newest in the response to a query sent at `as_of`;
+  // later writes may be missing from that response. Returns false if `version` is newer than the
+  // active one, which has to be read first.
   bool OnConfirmed(std::uint64_t version, TimeMs as_of);
 
   std::uint64_t version() const { return version_; }
-  // 0: never.
+  // Time of the last confirmation; 0 if there was none.
   TimeMs as_of() const { return as_of_; }
 
  private:
@@ -95,16 +95,18 @@
 
 // --- Quotas ---
 //
-// One agent is the giver of an organisation's quota: a token bucket of its rate and burst.
-// Entries ask it for each request and send what it grants. Which agent, all entries find by
-// rendezvous; where they disagree for a while, each giver gives only that part of the rate that
-// its entries are of all entries it knows. An entry counts at a new giver once it can count at no
-// former one any more, so that what is given over all is within the limit.
-
-// An entry counts at a giver for so long after it last said that it takes it for one.
+// Each limit is enforced by one agent, its allocator, which keeps a token bucket with the rate and
+// burst of the limit. Entries request an allocation from it for each request that they send.
+// Entries choose the allocator by rendezvous hashing. While they disagree on it, each allocator
+// hands out only the fraction of the rate that corresponds to the share of its registered entries
+// among all entries that it knows. An entry counts towards a new allocator only after its
+// registration with any former one has expired, so the sum of all allocations stays within the
+// limit.
+
+// Time after which the registration of an entry with an allocator expires unless renewed.
 constexpr DurationMs kRegistrationTtlMs = 2500;
 
-// What an organisation may send, as the newest version of the configuration that is known has it.
+// Limit of an organisation or upstream, taken from the newest known configuration.
 struct QuotaLimit {
   std::string organisation;
   double rate_per_s = 0;
@@ -116,9 +118,9 @@
   }
 };
 
-// All organisations for which an entry takes an agent for the giver.
+// All limits for which an entry has chosen an agent as allocator.
 struct QuotaRegistration {
-  std::uint64_t version = 0;  // Of the configuration.
+  std::uint64_t version = 0;  // Configuration version.
   std::vector<QuotaLimit> limits;
 
   bool operator==(const QuotaRegistration& other) const {
@@ -126,34 +128,34 @@
   }
 };
 
-// Requests of one organisation that wait at an entry, the first of them first.
+// Amounts needed by the queued requests of one organisation, in order of arrival.
 struct QuotaDemand {
   std::string organisation;
   std::vector<double> amounts;
 };
 
-// Of an entry to a giver.
+// Message from an entry to an allocator.
 struct QuotaRequest {
   std::string entry;
   std::uint64_t id = 0;
-  int entry_count = 0;  // That share each limit, as far as it knows.
+  int entry_count = 0;  // Number of entries that share each limit, as known to the sender.
   std::vector<QuotaDemand> demands;
-  std::optional<QuotaRegistration> registration;  // None: as said before.
+  std::optional<QuotaRegistration> registration;  // Unset if unchanged.
 };
 
 struct QuotaAllocation {
   std::string organisation;
-  std::size_t granted = 0;  // So many of the amounts, the first ones.
-  double advance = 0;       // And so much for requests to come.
-  DurationMs retry_ms = 0;  // Of the others, when the first would be granted.
+  std::size_t granted = 0;  // Number of amounts granted, counted from the first.
+  double advance = 0;       // Additional amount for future requests.
+  DurationMs retry_ms = 0;  // Time until the first refused amount could be granted.
 };
 
 struct QuotaGrant {
-  std::uint64_t id = 0;  // Of the question.
+  std::uint64_t id = 0;  // Id of the request.
   std::vector<QuotaAllocation> allocations;
 };
 
-// One message each, told from all others by its first bytes.
+// Each message has a distinct prefix, by which Is...() recognizes it.
 std::string EncodeQuotaRequest(const QuotaRequest& request);
 bool IsQuotaRequest(std::string_view bytes);
 bool DecodeQuotaRequest(std::string_view bytes, QuotaRequest* request);
@@ -161,21 +163,22 @@
 bool IsQuotaGrant(std::string_view bytes);
 bool DecodeQuotaGrant(std::string_view bytes, QuotaGrant* grant);
 
-// An agent's part.
+// Allocator side of the protocol, run by an agent.
 class QuotaAllocator {
  public:
-  // The entry said something, if only that it is there, and does so each `repeat_ms`.
+  // Called for each message from the entry, which sends one at least every
+  // `heartbeat_interval_ms`.
   void OnHeartbeat(const std::string& entry, DurationMs heartbeat_interval_ms, TimeMs now);
-  // Its link has closed. It may still run.
+  // Called when the link to the entry closes; the entry may still be running.
   void OnLinkClosed(const std::string& entry, TimeMs now);
   QuotaGrant OnRequest(const QuotaRequest& request, TimeMs now);
-  // To be called each second or more often: a longer time without it counts for nothing.
+  // Must be called at least once a second: buckets are not refilled for longer gaps.
   void Tick(TimeMs now);
-  // What this giver may give of an organisation's limit has changed since the last call.
+  // A change since the last call in the fraction of a limit that this allocator may hand out.
   struct FractionChange {
     std::string organisation;
-    int registered_count = 0;  // Entries that take it for the giver,
-    int entry_count = 0;       // of so many.
+    int registered_count = 0;  // Entries registered with this allocator.
+    int entry_count = 0;       // All known entries.
     double fraction = 0;
   };
   std::vector<FractionChange> TakeChanges() { return std::exchange(changes_, {}); }
@@ -184,25 +187,26 @@
   struct Entry {
     TimeMs last_heartbeat_at = 0;
     DurationMs heartbeat_interval_ms = 0;
-    int known_entries = 0;     // That it knows of.
-    TimeMs registered_at = 0;  // When it last said for what it takes this agent for the giver:
-    std::map<std::string, TimeMs> organisations;  // Since when it does.
+    int known_entries = 0;     // Number of entries known to this entry.
+    TimeMs registered_at = 0;  // Time of the last registration.
+    // Registered organisations, with the time since when.
+    std::map<std::string, TimeMs> organisations;
 
     bool IsLive(TimeMs now) const;
     bool IsRegistered(TimeMs now) const { return now - registered_at <= kRegistrationTtlMs; }
   };
-  // Of one organisation.
+  // Number of entries registered for one organisation.
   struct RegistrationCounts {
     int total = 0;
-    int exclusive = 0;  // That can count at no other giver any more.
+    int exclusive = 0;  // Entries whose registration elsewhere has expired.
   };
   struct Bucket {
     std::uint64_t version = 0;
     QuotaLimit limit;
-    double level = 0;          // What may be granted; below 0 by what was granted beyond it.
-    TimeMs refilled_at = 0;    // Up to when `level` is filled.
-    int registered_count = 0;  // Entries in touch whose giver this agent is.
-    double fraction = 0;       // Of the limit, what this giver may give: those of all entries.
+    double level = 0;          // Available amount; negative after an overdraft.
+    TimeMs refilled_at = 0;    // Time of the last refill.
+    int registered_count = 0;  // Entries registered for this limit.
+    double fraction = 0;       // Fraction of the limit that this allocator may hand out.
 
     double Capacity() const { return limit.burst * fraction; }
   };
@@ -211,7 +215,7 @@
   std::map<std::string, RegistrationCounts> CountRegistrations(TimeMs now) const;
   void MarkExclusive(const std::string& organisation, TimeMs now);
   QuotaAllocation Allocate(const QuotaDemand& demand, TimeMs now);
-  // Counts again who is there.
+  // Recomputes the fractions from the entries that are live and registered.
   void Recount(TimeMs now);
   static void Refill(Bucket* bucket, TimeMs now);
 
@@ -221,79 +225,80 @@
   TimeMs recounted_at_ = 0;
 };
 
-// An entry's part.
+// Client side of the protocol, run by an entry.
 class QuotaClient {
  public:
   enum class Decision {
     kAdmitted,
-    kPending,      // It is told by an Outcome.
-    kOverQuota,    // The organisation has used up its quota.
-    kNoAllocator,  // No giver answers, and the entry has no share of its own left.
+    kPending,      // The result follows as an Outcome.
+    kOverQuota,    // The quota is exhausted.
+    kNoAllocator,  // No allocator responds and the local share is exhausted.
   };
   struct Admission {
     Decision decision = Decision::kAdmitted;
-    DurationMs retry_ms = 0;  // Of the last two, when something is left again.
+    DurationMs retry_ms = 0;  // For refusals, when to retry.
   };
   struct Outcome {
     std::uint64_t ticket = 0;
     Admission admission;
   };
   struct Allocator {
-    std::string instance;  // By which it is reached.
-    std::string address;   // By which it is chosen: it stays while instances change.
+    std::string instance;  // Used to address it.
+    std::string address;   // Used to choose it; stable across restarts of the agent.
   };
   struct Message {
     std::string instance;
     QuotaRequest request;
   };
-  // What is known of one organisation here.
+  // Statistics of one limit at this entry.
   struct Usage {
     QuotaLimit limit;
-    std::uint64_t admitted = 0;        // Requests.
-    std::uint64_t refused = 0;         // Requests, for either reason.
-    double admitted_amount = 0;        // Of the requests taken.
-    double credit = 0;                 // Granted ahead and not used.
-    std::string allocator;             // Its address; empty: none.
-    std::string upstream;              // Whose limit it is; empty: an organisation's.
-    bool is_allocator_silent = false;  // It has left a question unanswered just now.
+    std::uint64_t admitted = 0;        // Number of requests.
+    std::uint64_t refused = 0;         // Number of requests, for either reason.
+    double admitted_amount = 0;        // Total amount of the admitted requests.
+    double credit = 0;                 // Unused advance.
+    std::string allocator;             // Address; empty if there is none.
+    std::string upstream;              // Set if it is the limit of an upstream.
+    bool is_allocator_silent = false;  // A recent request timed out.
   };
 
   explicit QuotaClient(std::string entry) : entry_(std::move(entry)) {}
 
   void SetOrganisations(const std::vector<Organisation>& organisations, std::uint64_t version,
                         TimeMs now);
-  // Those that may be reached now.
+  // Sets the agents that are reachable now.
   void SetAllocators(std::vector<Allocator> allocators, TimeMs now);
-  // An upstream takes so many requests a second from all entries together; none: as many as
-  // come. Those that wait for its share then may go.
+  // Sets the rate limit of an upstream across all entries, or removes it with nullopt, which
+  // admits the queued requests. When the limit changes, queued requests are refused and have to be
+  // submitted again.
   std::vector<Outcome> SetUpstreamLimit(const std::string& instance,
                                         std::optional<double> rate_per_s, TimeMs now);
-  // Those of which `has_limit` is false are forgotten.
+  // Removes idle upstream limits for which `has_limit` returns false.
   void RetainLimitedUpstreams(const std::function<bool(const std::string& instance)>& has_limit);
-  // As Take, of what all entries may send to that upstream.
+  // Like Acquire(), for one request against the limit of an upstream.
   Admission AcquireForUpstream(const std::string& instance, std::uint64_t ticket, TimeMs now);
-  // How many entries share each limit, as the agents in reach count them.
+  // Sets the number of entries that share each limit, as counted by the reachable agents.
   void SetEntryCount(int entry_count, TimeMs now);
 
   Admission Acquire(const std::string& organisation, double amount, std::uint64_t ticket,
                     TimeMs now);
-  // Refuses the request if nothing is left just now, so that it is not kept waiting for
-  // something else first.
+  // Returns a refusal if the quota is known to be exhausted, so that the request does not wait for
+  // other resources first.
   std::optional<Admission> RefuseIfOverQuota(const std::string& organisation, double amount,
                                              TimeMs now);
-  // What this giver was told may be lost: its link has closed.
+  // Called when the link to an allocator closes, which may have lost the registration.
   void OnLinkClosed(const std::string& instance);
-  // The request that asked is over.
+  // Cancels a pending request.
   void Cancel(std::uint64_t ticket);
-  // What was taken has not run.
+  // Returns the amount of an admitted request that did not run.
   void Refund(const std::string& organisation, double amount, TimeMs now);
 
   std::vector<Outcome> OnGrant(const QuotaGrant& grant, TimeMs now);
-  // Decides without their givers on those that have waited for long enough.
+  // Decides locally on requests whose allocator has not responded in time.
   std::vector<Outcome> Expire(TimeMs now);
-  // When Expire has something to do; 0: nothing is waited for.
+  // Time of the next Expire() that has work to do; 0 if no request is pending.
   TimeMs NextExpiryAt() const;
-  // What is to be sent now.
+  // Returns the messages that are due.
   std::vector<Message> TakeMessages(TimeMs now);
 
   std::vector<Usage> Usages(TimeMs now) const;
@@ -305,21 +310,21 @@
   };
   struct Account {
     QuotaLimit limit;
-    Allocator allocator;  // Its instance is empty where there is none.
-    double credit = 0;    // Granted ahead.
+    Allocator allocator;  // The instance is empty if there is none.
+    double credit = 0;    // Unused advance.
     TimeMs credit_expires_at = 0;
     TimeMs over_quota_until = 0;
     TimeMs allocator_silent_until = 0;
-    double local_level = 0;        // Of the entry's own share, for when there is no giver.
-    TimeMs local_refilled_at = 0;  // Up to when it is filled.
-    TimeMs registered_at = 0;      // When a giver was last told that it is the one.
-    // From then on the own share may be used though no giver was ever told; 0: never.
+    double local_level = 0;        // Local share, used while there is no allocator.
+    TimeMs local_refilled_at = 0;  // Time of the last local refill.
+    TimeMs registered_at = 0;      // Time of the last registration with an allocator.
+    // Time from which the local share may be used without a prior registration; 0 for never.
     TimeMs local_since = 0;
-    std::string upstream;          // Whose limit it is; empty: an organisation's.
-    std::uint64_t request_id = 0;  // Of the question that is out; 0: none.
+    std::string upstream;          // Set if it is the limit of an upstream.
+    std::uint64_t request_id = 0;  // Id of the outstanding request; 0 if there is none.
     TimeMs requested_at = 0;
-    std::deque<PendingRequest> requested;  // In that question.
-    std::deque<PendingRequest> queued;     // For the next one.
+    std::deque<PendingRequest> requested;  // Part of the outstanding request.
+    std::deque<PendingRequest> queued;     // Waiting for the next request.
     std::uint64_t admitted = 0;
     std::uint64_t refused = 0;
     double admitted_amount = 0;
@@ -339,16 +344,15 @@
 
   std::string entry_;
   std::uint64_t version_ = 0;
-  int entry_count_ = 0;  // The most that were counted lately; 0: not known.
+  int entry_count_ = 0;  // Highest recent count; 0 if unknown.
   TimeMs entry_count_at_ = 0;
   std::vector<Allocator> allocators_;
-  std::map<std::string, Account> accounts_;  // Of organisations and upstreams that have a limit.
-  std::map<std::string, std::string>
-      upstream_accounts_;  // The accounts of their limits, by instance.
+  std::map<std::string, Account> accounts_;               // By organisation or upstream limit.
+  std::map<std::string, std::string> upstream_accounts_;  // Names of accounts, by instance.
   std::map<std::string, SentRegistration>
-      sent_registrations_;                // By instance, what it was last told.
-  bool is_registration_changed_ = false;  // Some giver is to be told of its holdings.
-  TimeMs next_registration_at_ = 0;       // When all are told again.
+      sent_registrations_;                // Last sent registration, by instance.
+  bool is_registration_changed_ = false;  // A registration has to be sent.
+  TimeMs next_registration_at_ = 0;       // Time of the next periodic registration.
   std::uint64_t last_request_id_ = 0;
 };
 
--- a/src/tenancy/organisations.cc
+++ b/src/tenancy/organisations.cc
@@ -25,7 +25,7 @@
 
 void ConfigurationFreshness::OnApplied(std::uint64_t version) { version_ = version; }
 
-// An earlier version comes from a store that lost the later one.
+// A store may report an earlier version if it has lost the later one.
 bool ConfigurationFreshness::OnConfirmed(std::uint64_t version, TimeMs as_of) {
   if (version > version_) return false;
   as_of_ = std::max(as_of_, as_of);
--- a/src/tenancy/quota_allocator.cc
+++ b/src/tenancy/quota_allocator.cc
@@ -7,17 +7,18 @@
 namespace junctionrail {
 namespace {
 
-// An entry is in touch while it has missed no more than one of its repeats.
+// An entry is live if it has missed at most one heartbeat.
 constexpr DurationMs kMinLivenessMs = 2500;
 constexpr double kLivenessIntervals = 2.5;
-// An entry that is not heard of may be cut off and use its own share for so long.
+// Time for which a silent entry still counts: it may be partitioned and use its local share.
 constexpr DurationMs kForgetAfterMs = 20000;
-// Who is there is counted so often, and when an entry says otherwise.
+// Interval of Recount(), which also runs when a registration changes.
 constexpr DurationMs kRecountIntervalMs = 100;
-// Nothing is filled in for more than this: the process was stopped, and others were
-// the giver meanwhile.
+// Longest gap for which a bucket is refilled. After a longer one the process was suspended, and
+// another allocator was in charge meanwhile.
 constexpr DurationMs kMaxRefillGapMs = 1000;
-// Granted ahead: so many times what was asked for, from what is above a half.
+// The advance is at most this multiple of the granted amount, taken from the part of the level
+// above this fraction of the capacity.
 constexpr double kAdvanceFactor = 2;
 constexpr double kAdvanceThreshold = 0.5;
 constexpr DurationMs kUnknownLimitRetryMs = 250;
@@ -84,8 +85,8 @@
   if (is_changed) Recount(now);
 }
 
-// With its part as it was until now. What an agent could give before it was the giver
-// another one has given: so a bucket begins empty.
+// Refills with the fraction that applied until now. A bucket starts empty, because another
+// allocator has already handed out what accrued before.
 void QuotaAllocator::Refill(Bucket* bucket, TimeMs now) {
   const DurationMs gap = std::clamp<DurationMs>(now - bucket->refilled_at, 0, kMaxRefillGapMs);
   bucket->refilled_at = now;
@@ -109,7 +110,7 @@
   return counts;
 }
 
-// All entries in touch take this agent for the giver: none of them counts at another.
+// Called when all live entries are registered here, so that none of them counts elsewhere.
 void QuotaAllocator::MarkExclusive(const std::string& organisation, TimeMs now) {
   for (auto& [name, entry] : entries_) {
     const auto it = entry.organisations.find(organisation);
@@ -118,8 +119,8 @@
   }
 }
 
-// Entries that are cut off, or take another agent for the giver, have their part of the limit
-// there. What is not heard of for long counts no more: it has been replaced.
+// Entries that are partitioned or registered elsewhere use their fraction of the limit there.
+// Entries that have been silent for kForgetAfterMs are dropped: they have been replaced.
 void QuotaAllocator::Recount(TimeMs now) {
   recounted_at_ = now;
   int reported = 0;
@@ -132,7 +133,7 @@
     }
     it = is_gone ? entries_.erase(it) : std::next(it);
   }
-  // After its start an agent has heard of few; those few know of more.
+  // A restarted agent has heard from few entries so far, but those know the total.
   const int entry_count = std::max(reported, static_cast<int>(entries_.size()));
   const auto counts = CountRegistrations(now);
   for (auto it = buckets_.begin(); it != buckets_.end();) {
@@ -140,7 +141,8 @@
     Refill(&bucket, now);
     const auto found = counts.find(it->first);
     if (found == counts.end()) {
-      // Whoever is the giver now has its own; should this one be it again, it begins anew.
+      // The current allocator has its own bucket. If this agent is chosen again, it starts with a
+      // new one.
       changes_.push_back({it->first, 0, entry_count, 0});
       it = buckets_.erase(it);
       continue;
@@ -167,8 +169,8 @@
   Refill(&bucket, now);
   double granted_amount = 0;
   for (const double amount : demand.amounts) {
-    // A request passes while anything is left, and what it takes beyond that is owed: large ones
-    // are let in as often as small ones.
+    // A request is granted while the level is positive and may overdraw it, so that large requests
+    // are admitted as often as small ones.
     if (bucket.level <= 0) {
       const double rate_per_ms = bucket.limit.rate_per_s * bucket.fraction / kMsPerS;
       if (rate_per_ms > 0) {
--- a/src/tenancy/quota_client.cc
+++ b/src/tenancy/quota_client.cc
@@ -7,31 +7,31 @@
 namespace junctionrail {
 namespace {
 
-// A question crosses a region and back within some ms; a lost packet costs 200.
+// A round trip within a region takes a few ms; a lost packet adds 200 ms.
 constexpr DurationMs kAllocatorTimeoutMs = 150;
-// After a question without an answer, requests do not wait for the next one.
+// After a timeout, requests do not wait for the allocator for this long.
 constexpr DurationMs kAllocatorBackoffMs = 300;
-// What was granted ahead counts as sent at the giver: it is used soon or not at all.
+// The allocator counts an advance as used, so it expires soon after it was granted.
 constexpr DurationMs kCreditTtlMs = 250;
-// Givers are told again so often of what they are taken for.
+// Interval at which registrations are renewed.
 constexpr DurationMs kRegistrationIntervalMs = 1000;
-// Of all agents so many may be givers, so that few messages keep them informed.
+// Number of agents that may be allocators, which bounds the number of registration messages.
 constexpr std::size_t kMaxAllocators = 32;
 constexpr std::string_view kAllocatorHashKey = "quota givers";
 constexpr DurationMs kNoAllocatorRetryMs = 1000;
 constexpr std::size_t kMaxAmountsPerRequest = 256;
-// A lower count of entries is believed once no higher one came for so long.
+// Time without a higher entry count after which a lower one is adopted.
 constexpr DurationMs kEntryCountHoldMs = 60000;
 constexpr double kMsPerS = 1000;
-// Where there are no agents nobody counts the entries.
+// Assumed where there are no agents, which count the entries.
 constexpr int kDefaultEntryCount = 8;
-// One that takes less, or nothing, gets as much all the same: only an answer tells that it
-// takes more again.
+// Lower bound for upstream limits: only the response to a request shows that an upstream accepts
+// more again.
 constexpr double kMinUpstreamRatePerS = 0.05;
 constexpr double kUpstreamBurst = 1;
 
-// Names of organisations hold no blanks. A limit that changes is counted anew: what was said of
-// the former one may still be under way.
+// Contains spaces, which names of organisations do not. A changed limit gets a new account, as
+// messages about the previous limit may still be in flight.
 std::string UpstreamAccount(const std::string& instance, double rate_per_s) {
   return "upstream " + instance + " " + std::to_string(rate_per_s);
 }
@@ -51,7 +51,7 @@
     if (is_new) ChooseAllocator(it.name, &found->second, now);
   }
   for (auto it = accounts_.begin(); it != accounts_.end();) {
-    // One with requests that still wait goes with the next configuration.
+    // An account with pending requests is removed with a later configuration.
     const bool is_removed = it->second.upstream.empty() && limited.count(it->first) == 0 &&
                             it->second.requested.empty() && it->second.queued.empty();
     it = is_removed ? accounts_.erase(it) : std::next(it);
@@ -67,7 +67,7 @@
     const Account& account = accounts_[former->second];
     for (const auto* queued : {&account.requested, &account.queued}) {
       for (const auto& it : *queued) {
-        // With another limit they ask anew.
+        // Refused so that they are submitted again under the new limit.
         const Admission admission = rate_per_s ? Admission{Decision::kOverQuota, 0} : Admission{};
         if (it.ticket != 0) outcomes.push_back({it.ticket, admission});
       }
@@ -109,7 +109,7 @@
   return it == upstream_accounts_.end() ? Admission{} : Acquire(it->second, 1, ticket, now);
 }
 
-// An entry that is cut off is counted by nobody, and the others are still there.
+// A partitioned entry receives low counts although the other entries are still running.
 void QuotaClient::SetEntryCount(int entry_count, TimeMs now) {
   if (entry_count < entry_count_ && now - entry_count_at_ < kEntryCountHoldMs) return;
   entry_count_ = entry_count;
@@ -134,7 +134,7 @@
   for (auto& [organisation, account] : accounts_) ChooseAllocator(organisation, &account, now);
 }
 
-// All entries that reach the same agents choose the same one.
+// Entries that reach the same agents choose the same allocator.
 void QuotaClient::ChooseAllocator(const std::string& organisation, Account* account, TimeMs now) {
   Allocator best;
   std::uint64_t best_score = 0;
@@ -150,7 +150,7 @@
   account->allocator_silent_until = 0;
   account->local_level = 0;
   account->local_refilled_at = now;
-  // What the former giver was asked is asked of the next one.
+  // Outstanding requests are sent again to the new allocator.
   account->queued.insert(account->queued.begin(), account->requested.begin(),
                          account->requested.end());
   account->requested.clear();
@@ -193,9 +193,10 @@
   return {Decision::kPending, 0};
 }
 
-// Every entry an equal share of the limit, once it counts at no giver any more, which
-// keeps it back from then on for as long as it misses the entry. One that has had no giver since
-// its start does not know how many share the limit, and has none.
+// Each entry may use an equal share of the limit once its registration with the last allocator has
+// expired; from then on allocators withhold that share until they forget the entry. An entry that
+// has had no allocator since its start does not know how many entries share the limit, and has no
+// share.
 QuotaClient::Admission QuotaClient::AcquireLocally(Account* account, double amount,
                                                    TimeMs now) const {
   const Admission refused{Decision::kNoAllocator, kNoAllocatorRetryMs};
@@ -235,7 +236,7 @@
     queued.erase(std::remove_if(queued.begin(), queued.end(), has_ticket), queued.end());
     const auto requested =
         std::find_if(account.requested.begin(), account.requested.end(), has_ticket);
-    // What is granted for it is for others.
+    // Its grant becomes credit for other requests.
     if (requested != account.requested.end()) requested->ticket = 0;
   }
 }
@@ -255,7 +256,7 @@
   std::vector<Outcome> outcomes;
   for (const auto& allocation : grant.allocations) {
     const auto it = accounts_.find(allocation.organisation);
-    // An answer that came too late: its giver counts what it granted as sent.
+    // The response is late: the allocator counts its grants as used.
     if (it == accounts_.end() || it->second.request_id != grant.id) continue;
     Account& account = it->second;
     account.request_id = 0;
--- a/src/tenancy/quota_messages.cc
+++ b/src/tenancy/quota_messages.cc
@@ -1,4 +1,4 @@
-// CBOR maps with short keys.
+// Quota messages are CBOR maps with short keys.
 #include <nlohmann/json.hpp>
 
 #include "../base/cbor_message.h"
@@ -9,7 +9,7 @@
 
 using nlohmann::json;
 
-// A map with this one key: what every such message begins with.
+// Each message is a map with a single key, encoded as the prefix below.
 constexpr char kRequestKey[] = "quota";
 constexpr std::string_view kRequestPrefix =
     "\xa1\x65"
@@ -18,14 +18,14 @@
 constexpr std::string_view kGrantPrefix =
     "\xa1\x65"
     "grant";
-// Of one message.
+// Maximum number of amounts in one demand.
 constexpr std::size_t kMaxAmounts = 4096;
 
 std::string Pack(const char* key, const json& content) {
   return internal::PackCbor(json{{key, content}});
 }
 
-// Calls `read` with what stands under the key; false where it is of another shape.
+// Calls `read` with the value of `key`. Returns false if the message is malformed.
 template <class Read>
 bool Unpack(std::string_view bytes, const char* key, Read read) {
   return internal::UnpackCbor(bytes, [&](const json& message) { return read(message.at(key)); });
