--- a/include/junctionrail/quarantine.h
+++ b/include/junctionrail/quarantine.h
@@ -1,7 +1,7 @@
-// Requests that end the upstreams that run them: which request may be one, judged by
-// what had just begun at upstreams when they ended, and what becomes of it. One that
-// is only suspected is sent on alone; one that is known by its ends is refused.
-// Decisions only; the time is handed in and nothing here opens a socket.
+// Quarantine of requests that crash the upstreams that run them. Requests that had recently
+// started on an upstream when it crashed become suspects. A suspect is routed in isolation from
+// other suspects, and refused once the crashes identify it as the cause.
+// This layer is free of I/O: callers pass the current time and transport the messages.
 #ifndef JUNCTIONRAIL_QUARANTINE_H_
 #define JUNCTIONRAIL_QUARANTINE_H_
 
@@ -17,23 +17,23 @@
 
 namespace junctionrail {
 
-// What makes two tries the same request: what upstreams get of it, but for what differs from
-// try to try. So not the caller's address, which no upstream sees, and which is another one
-// for another way through proxies and data halls.
+// The parts that identify a request across attempts: what an upstream receives, except for parts
+// that differ between attempts. The caller's address is not included: upstreams do not see it, and
+// it depends on the path through proxies and data halls.
 struct RequestIdentity {
   std::string_view method;
   std::string_view host;
   std::string_view target;      // Path and query.
-  std::string_view credential;  // By which the caller names itself; empty for none.
+  std::string_view credential;  // Identifies the caller; empty if absent.
   std::string_view body;
 };
 
-// Stands for a RequestIdentity where the bytes themselves are not kept.
+// Digest of a RequestIdentity, stored in place of the request.
 struct RequestDigest {
   std::uint64_t high = 0;
   std::uint64_t low = 0;
 
-  // 32 hexadecimal digits, and back; none when `text` is something else.
+  // Converts to and from 32 lowercase hexadecimal digits. Parse() returns nullopt for other text.
   std::string ToString() const;
   static std::optional<RequestDigest> Parse(std::string_view text);
 
@@ -47,103 +47,105 @@
 
 RequestDigest DigestOf(const RequestIdentity& identity);
 
-// A request that was under way at an upstream when it ended, and had not run for long
-// enough to be above suspicion.
+// A request that was running on an upstream when it crashed, and had not run long enough to be
+// ruled out as the cause.
 struct Suspect {
   RequestDigest digest;
-  bool has_sent_event = false;  // A part of its answer had come.
-  // It was suspected when it was sent, and sent as the only such request there.
+  bool has_sent_event = false;  // A part of its response had arrived.
+  // It was already a suspect when it was sent, and the only suspect on the upstream.
   bool was_isolated = false;
 };
 
-// The end of an upstream as one process saw it, or as several did together.
+// A crash of an upstream, as observed by one process or merged from several.
 struct UpstreamCrash {
   std::string instance;
   DurationMs age_ms = 0;
   std::vector<Suspect> suspects;
-  // In a message to an agent: it is to write the end to the store.
+  // In a message to an agent: asks it to write the crash to the store.
   bool should_record = false;
 };
 
-// Between entries and agents, as one message each; told from views and demands by its
-// first bytes.
+// Encoding for messages between entries and agents. A distinct prefix tells them apart from views
+// and demands.
 std::string EncodeCrash(const UpstreamCrash& crash);
 bool IsCrashMessage(std::string_view bytes);
 bool DecodeCrash(std::string_view bytes, UpstreamCrash* crash);
-// As it is kept in the store, without the age.
+// Encoding for the store, which omits the age.
 std::string CrashToText(const UpstreamCrash& crash);
-// False when `text` is not one.
+// Returns false if `text` is malformed.
 bool CrashFromText(std::string_view text, UpstreamCrash* crash);
 
 enum class QuarantineStatus {
-  kClear,    // Nothing speaks against it.
-  kSuspect,  // It is sent only as the one suspect at its upstream.
-  kRefused,  // It is sent to no upstream.
+  kClear,    // Not suspected.
+  kSuspect,  // May be sent only as the only suspect on its upstream.
+  kRefused,  // Not sent to any upstream.
 };
 
 struct QuarantineLimits {
-  // A request has run for so long after its first event: had it been one that ends
-  // upstreams, this one would have ended. Those that did took 53 to 103 ms from the
-  // beginning of their run, in five recorded cases, and had shown no event.
+  // A request that has run this long after its first event is not the cause of a crash. In five
+  // recorded cases the upstream crashed 53 to 103 ms after the request started, before its first
+  // event.
   DurationMs harmless_after_ms = 300;
-  // Suspicion ends so long after the end: in a recorded day such requests ended upstreams
-  // for 15 s, 4 s apart at most. Only memory speaks against more.
+  // Time after a crash for which its suspects are kept. In a recorded day such requests crashed
+  // upstreams over a period of 15 s, at most 4 s apart. A longer time costs only memory.
   DurationMs suspicion_ttl_ms = 60000;
-  // A refusal ends so long after it began, as the upstreams may have changed; the request
-  // is then tried again. The longest lease that the store gives.
+  // Duration of a refusal, after which the request is tried again because the upstreams may have
+  // changed. This is the longest lease that the store grants.
   DurationMs refusal_ttl_ms = 600000;
-  // Upstreams that end within so long of one another have a common cause more likely than
-  // one request at each: in the same day no two ends were less than 25 ms apart.
+  // Crashes within this time of one another are attributed to a common cause rather than to one
+  // request on each upstream: in the same day no two crashes were less than 25 ms apart.
   DurationMs common_cause_window_ms = 15;
-  // By then all entries in touch have told of an end what they had there, suspects of their own
-  // too. Sooner no end proves who was alone at it.
+  // Time in which all reachable entries report the suspects that they had on a crashed upstream.
+  // Before it has passed, a crash does not prove that a suspect was the only isolated one there.
   DurationMs report_window_ms = 50;
   std::size_t max_crashes = 64;
-  // Of one end: twice what an engine of 64 places runs and queues, which is 96.
+  // Per crash: twice the 96 requests that an engine with 64 slots runs and queues.
   std::size_t max_suspects = 192;
   std::size_t max_refusals = 4096;
 };
 
-// All that a process knows of ends and suspects.
+// Crashes, suspects and refusals known to one process.
 class QuarantineTable {
  public:
   explicit QuarantineTable(QuarantineLimits limits = {}) : limits_(limits) {}
 
-  // An upstream may have ended: its suspects are sent on alone, and it counts for no
-  // lasting refusal until it is added.
+  // Records an unconfirmed crash. Its suspects are sent in isolation, but it does not count towards
+  // a lasting refusal until it is confirmed by Add().
   void AddPending(const UpstreamCrash& crash, TimeMs now);
-  // It has not ended.
+  // Removes an unconfirmed crash: the upstream is still running.
   void Withdraw(const std::string& instance);
-  // An upstream has ended. What several processes say of one is put together. True
-  // when it is news.
+  // Records a confirmed crash and merges reports of it from several processes. Returns true if the
+  // report adds information.
   bool Add(const UpstreamCrash& crash, TimeMs now);
-  // The request ran and ended no upstream.
+  // Clears a request that ran without crashing its upstream.
   void Clear(const RequestDigest& digest, TimeMs now);
-  // Another process refuses it.
+  // Adopts a refusal by another process.
   void Refuse(const RequestDigest& digest, TimeMs now);
-  // An operator lets it be tried again: once, alone. False when it was not refused.
+  // Lifts a refusal on behalf of an operator: the request is tried in isolation, and one more
+  // crash refuses it again. Returns false if it was not refused.
   bool Release(const RequestDigest& digest, TimeMs now);
-  // What is proven by now is refused, and what is old goes.
+  // Refuses suspects that are proven by now and removes expired data.
   void Expire(TimeMs now);
 
   QuarantineStatus StatusOf(const RequestDigest& digest, TimeMs now) const;
-  // Neither a suspect nor a refusal: no digest needs to be looked up.
+  // True if there are no suspects and no refusals, so that no digest has to be computed.
   bool IsEmpty() const { return evidence_.empty() && refused_.empty(); }
   bool IsKnown(const std::string& instance) const { return crashes_.count(instance) > 0; }
-  // By which name the end of an upstream goes at which an attempt began at `begun_at`: that of
-  // its instance, or, where that has ended before, of a start which has not been listed yet.
+  // Returns the name for a crash of `instance` that interrupted an attempt started at `started_at`:
+  // the instance itself, or, if that has crashed before, a name for a restart whose record has not
+  // been read yet.
   std::string CrashName(const std::string& instance, TimeMs started_at) const;
   static std::string InstanceOfCrash(const std::string& name);
 
-  // Ends that were added, for a process that knows none.
+  // Returns the confirmed crashes, for a process that does not know them yet.
   std::vector<UpstreamCrash> RecentCrashes(TimeMs now) const;
   std::optional<UpstreamCrash> Find(const std::string& instance, TimeMs now) const;
-  // Refusals since the last call.
+  // Returns the digests that this process has refused since the last call.
   std::vector<RequestDigest> TakeNewRefusals();
   struct Refusal {
     RequestDigest digest;
     TimeMs since = 0;
-    int crashes = 0;  // Upstreams that ended under it; 0: by another process' word.
+    int crashes = 0;  // Crashes attributed to it; 0 if adopted from another process.
   };
   std::vector<Refusal> Refusals() const;
   std::size_t suspect_count() const { return evidence_.size(); }
@@ -155,7 +157,7 @@
     bool is_pending = false;
     std::vector<Suspect> suspects;
   };
-  // What speaks against one request.
+  // Links one request to one crash.
   struct Evidence {
     std::string instance;
     TimeMs crashed_at = 0;
@@ -168,7 +170,8 @@
   void RemoveCrash(const std::string& instance);
   void RemoveEvidence(const RequestDigest& digest, const std::string& instance);
   void RefuseIfProven(const RequestDigest& digest, TimeMs now);
-  // For the next attempt by what is known so far, or for a refusal that lasts.
+  // kProvisional decides on the next attempt from what is known so far; kFinal on a lasting
+  // refusal.
   enum class Proof { kProvisional, kFinal };
   bool IsProven(const RequestDigest& digest, const std::vector<Evidence>& evidence, Proof proof,
                 TimeMs now) const;
@@ -176,24 +179,24 @@
 
   QuarantineLimits limits_;
   std::map<std::string, Crash> crashes_;  // By instance.
-  std::deque<std::string> crash_order_;   // Of `crashes_`, oldest first.
+  std::deque<std::string> crash_order_;   // Keys of `crashes_`, oldest first.
   std::map<RequestDigest, std::vector<Evidence>> evidence_;
-  std::map<RequestDigest, TimeMs> cleared_;  // When; ends before it count no more.
+  std::map<RequestDigest, TimeMs> cleared_;  // Time of clearance; earlier crashes are ignored.
   std::map<RequestDigest, Refusal> refused_;
   std::vector<RequestDigest> newly_refused_;
   std::uint64_t cleared_count_ = 0;
 };
 
-// Which suspect is at which upstream: one at most, so that the next end tells
-// them apart, and innocent ones do not share the end of another.
+// Tracks which suspect is on which upstream. Each upstream has at most one, so that the next crash
+// tells them apart and harmless suspects are not affected by the crash of another.
 class SuspectIsolation {
  public:
-  // Instances that have a suspect other than this one.
+  // Returns the instances that have a suspect other than this one.
   std::vector<std::string> OccupiedByOthers(const RequestDigest& digest) const;
   std::vector<std::string> Occupied() const;
-  // Where another try of the same request is.
+  // Returns the instance that has another attempt of the same request.
   std::optional<std::string> Find(const RequestDigest& digest) const;
-  // False when another suspect is there.
+  // Returns false if another suspect is on the instance.
   bool Reserve(const std::string& instance, const RequestDigest& digest);
   void Release(const std::string& instance, const RequestDigest& digest);
 
--- a/src/quarantine/crash_messages.cc
+++ b/src/quarantine/crash_messages.cc
@@ -1,4 +1,4 @@
-// CBOR between processes, JSON in the store; the same fields in both.
+// Crashes are sent as CBOR between processes and stored as JSON, with the same fields.
 #include <nlohmann/json.hpp>
 
 #include "../base/cbor_message.h"
@@ -9,7 +9,7 @@
 
 using nlohmann::json;
 
-// A map with this one key: what every such message begins with.
+// The message is a map with this single key, encoded as the prefix below.
 constexpr char kMessageKey[] = "end";
 constexpr std::string_view kMessagePrefix =
     "\xa1\x63"
@@ -23,7 +23,7 @@
   return {{"i", crash.instance}, {"s", suspects}};
 }
 
-// Throws json::exception where a field is missing or of another type.
+// Throws json::exception if a field is missing or has the wrong type.
 bool FromJson(const json& it, UpstreamCrash* crash) {
   crash->instance = it.at("i").get<std::string>();
   for (const auto& suspect : it.at("s")) {
--- a/src/quarantine/quarantine_table.cc
+++ b/src/quarantine/quarantine_table.cc
@@ -6,11 +6,11 @@
 namespace junctionrail {
 namespace {
 
-// Two ends tell which request it was only if it was known to be alone at the second;
-// a third, with whomever, is proof enough for all.
+// Two crashes identify a request only if it was the only suspect at the second one; three are
+// sufficient regardless of other requests.
 constexpr int kCrashesIfIsolated = 2;
 constexpr int kCrashesToRefuse = 3;
-// Between an instance and how often it has started since it was listed.
+// Separates an instance from the number of its restarts since it was listed.
 constexpr char kRestartSeparator[] = "+";
 
 const Suspect* FindSuspect(const std::vector<Suspect>& suspects, const RequestDigest& digest) {
@@ -99,10 +99,10 @@
   evidence_.erase(it);
 }
 
-// An upstream that ended while the only suspect was there, and that suspect one that had
-// been there when another ended. It was the only one if no other entry has told of another
-// by the time they all have. A third end with it is enough whoever else was there: each further
-// one costs up to 64 streams that had no part in it, a wrong refusal costs one.
+// A suspect is proven if it was present at a crash with another cause and then was the only
+// isolated suspect at a later one. It counts as the only one if no other entry has reported another
+// within report_window_ms. Three crashes are sufficient regardless of other requests: each further
+// crash interrupts up to 64 unrelated streams, while a wrong refusal affects a single request.
 bool QuarantineTable::IsProven(const RequestDigest& digest, const std::vector<Evidence>& evidence,
                                Proof proof, TimeMs now) const {
   const bool is_final = proof == Proof::kFinal;
@@ -156,7 +156,7 @@
 
 bool QuarantineTable::Release(const RequestDigest& digest, TimeMs now) {
   if (refused_.erase(digest) == 0) return false;
-  // One end is left to its account, so that it is sent alone and a second one is enough.
+  // One crash is kept on record, so that the request is isolated and the next crash refuses it.
   Clear(digest, now);
   cleared_.erase(digest);
   UpstreamCrash crash;
@@ -188,12 +188,12 @@
   const auto it = evidence_.find(digest);
   if (it == evidence_.end()) return QuarantineStatus::kClear;
   const auto& evidence = it->second;
-  // It is decided within report_window_ms whether the last upstream has ended, and who else was
-  // there: one attempt is given up for that, where the next one would most likely end a further
-  // upstream.
+  // Whether the last upstream has crashed, and which other suspects it had, is not settled until
+  // report_window_ms has passed. Until then the request is refused, as another attempt would most
+  // likely crash another upstream.
   if (IsProven(digest, evidence, Proof::kProvisional, now)) return QuarantineStatus::kRefused;
-  // One that had shown a part of its answer is the less likely one: none of those
-  // recorded had. It is not held up for one end.
+  // A request whose response had started is an unlikely cause: none of the recorded ones had. It is
+  // not isolated for a single crash.
   const bool has_repeated = evidence.size() >= kCrashesIfIsolated;
   const bool is_suspect =
       has_repeated || std::any_of(evidence.begin(), evidence.end(),
--- a/src/quarantine/request_digest.cc
+++ b/src/quarantine/request_digest.cc
@@ -9,7 +9,7 @@
 
 constexpr std::size_t kHexDigits = 32;
 
-// With its length before it, so that no two lists of parts give the same bytes.
+// Adds the part prefixed with its length, so that different lists of parts give different input.
 void AddPart(Sha256* hash, std::string_view part) {
   const std::uint64_t n = part.size();
   std::array<char, 8> length{};
@@ -38,8 +38,8 @@
 
 }  // namespace
 
-// Callers choose the bytes, and processes tell each other the digests: so a hash in
-// which nobody finds two alike, and which needs no key that all of them would share.
+// The input is controlled by callers and the digests are exchanged between processes. This requires
+// a collision-resistant hash that needs no shared key.
 RequestDigest DigestOf(const RequestIdentity& identity) {
   Sha256 hash;
   for (const auto part :
