--- a/test/random_quarantine_test.cc
+++ b/test/random_quarantine_test.cc
@@ -64,19 +64,19 @@
  public:
   explicit World(std::uint32_t) : entries_(kEntries), upstreams_(kUpstreams) {}
 
-  void Step(Word word) {
+  void Step(RandomChoices word) {
     now_ += kStepMs;
-    const auto choice = word.Take(16);
-    if (choice == 0 && has_partitions) Partition(entries_[word.Take(kEntries)], word);
+    const auto choice = word.Next(16);
+    if (choice == 0 && has_partitions) Partition(entries_[word.Next(kEntries)], word);
     if (choice <= 3) return ResendDeadly(word);
-    if (choice <= 9) Send(++requests_, static_cast<int>(word.Take(kEntries)), word);
+    if (choice <= 9) Send(++requests_, static_cast<int>(word.Next(kEntries)), word);
     Advance(word);
   }
 
   void Drain() {
     for (int n = 0; n < 100; ++n) {
       now_ += kStepMs;
-      Advance(Word(static_cast<std::uint32_t>(n)));
+      Advance(RandomChoices(static_cast<std::uint32_t>(n)));
     }
   }
 
@@ -87,14 +87,14 @@
     return "u" + std::to_string(upstream) + "-" + std::to_string(start);
   }
 
-  void Partition(Entry& entry, Word word) {
-    entry.partitioned_until = now_ + 500 + static_cast<TimeMs>(word.Take(3000));
+  void Partition(Entry& entry, RandomChoices word) {
+    entry.partitioned_until = now_ + 500 + static_cast<TimeMs>(word.Next(3000));
   }
 
   // Waits until reports of the last crash have arrived: other tests cover earlier repetitions.
-  void ResendDeadly(Word word) {
+  void ResendDeadly(RandomChoices word) {
     if (now_ - last_crash_at_ > kMaxDelayMs + kStepMs && !IsRunning(kDeadly)) {
-      Send(kDeadly, static_cast<int>(word.Take(kEntries)), word);
+      Send(kDeadly, static_cast<int>(word.Next(kEntries)), word);
     }
     Advance(word);
   }
@@ -106,7 +106,7 @@
     });
   }
 
-  void Send(int request, int from, Word word) {
+  void Send(int request, int from, RandomChoices word) {
     Entry& entry = entries_[static_cast<std::size_t>(from)];
     const RequestDigest digest = DigestFor(request);
     const QuarantineStatus standing = entry.table.StatusOf(digest, now_);
@@ -121,7 +121,7 @@
       if (is_free) free.push_back(n);
     }
     if (free.empty()) return;
-    const std::size_t to = free[word.Take(static_cast<std::uint32_t>(free.size()))];
+    const std::size_t to = free[word.Next(static_cast<std::uint32_t>(free.size()))];
     Upstream& upstream = upstreams_[to];
     const bool was_isolated = standing == QuarantineStatus::kSuspect &&
                               entry.isolation.Reserve(Name(to, upstream.starts), digest);
@@ -138,7 +138,7 @@
             "expected at most three sends once all entries know, got more");
   }
 
-  void Advance(Word word) {
+  void Advance(RandomChoices word) {
     Deliver();
     for (std::size_t n = 0; n < upstreams_.size(); ++n) Serve(n, word);
     for (auto& it : entries_) {
@@ -168,7 +168,7 @@
                    notices_.end());
   }
 
-  void Serve(std::size_t n, Word word) {
+  void Serve(std::size_t n, RandomChoices word) {
     Upstream& upstream = upstreams_[n];
     const bool is_crashing = std::any_of(
         upstream.runs.begin(), upstream.runs.end(),
@@ -185,7 +185,7 @@
                         upstream.runs.end());
   }
 
-  void Crash(std::size_t n, Word word) {
+  void Crash(std::size_t n, RandomChoices word) {
     Upstream& upstream = upstreams_[n];
     const std::string name = Name(n, upstream.starts);
     if (++crashes_ == kCrashesToPropagate) third_crash_at_ = now_;
@@ -214,11 +214,11 @@
     }
   }
 
-  void Notify(int from, const UpstreamCrash& crash, Word word) {
+  void Notify(int from, const UpstreamCrash& crash, RandomChoices word) {
     if (crash.suspects.empty()) return;
     entries_[static_cast<std::size_t>(from)].table.Add(crash, now_);
     for (int k = 0; k < kEntries; ++k) {
-      const auto delay = 1 + static_cast<DurationMs>(word.Take(kMaxDelayMs));
+      const auto delay = 1 + static_cast<DurationMs>(word.Next(kMaxDelayMs));
       if (k != from) notices_.push_back({k, now_ + delay, crash});
     }
   }
@@ -240,11 +240,11 @@
 TEST_GROUP(RandomQuarantine){};
 
 TEST(RandomQuarantine, RefusesOnlyTheDeadlyRequestInTime) {
-  CHECK(RunAtRandom<World<false>>("quarantine"));
+  CHECK(RunRandomTest<World<false>>("quarantine"));
 }
 
 TEST(RandomQuarantine, KeepsItsBoundUnderPartitions) {
-  CHECK(RunAtRandom<World<true>>("quarantine with cuts"));
+  CHECK(RunRandomTest<World<true>>("quarantine with cuts"));
 }
 
 }  // namespace junctionrail::test
--- a/test/random_quota_test.cc
+++ b/test/random_quota_test.cc
@@ -88,13 +88,13 @@
     for (auto& it : agents_) it.allocator = std::make_unique<QuotaAllocator>();
   }
 
-  void Step(Word word) {
+  void Step(RandomChoices word) {
     InjectFault(word);
     for (int n = 0; n < 10; ++n) Advance(word);
   }
 
   void Drain() {
-    Word word(7);
+    RandomChoices word(7);
     for (int n = 0; n < 100; ++n) Advance(word);
   }
 
@@ -108,11 +108,11 @@
     it.heartbeat_sent_at = 0;
   }
 
-  void InjectFault(Word& word) {
-    const auto for_ms = 200 + static_cast<DurationMs>(word.Take(6000));
-    auto& entry = entries_[word.Take(Limit::kEntries)];
-    auto& agent = agents_[word.Take(kAgents)];
-    switch (word.Take(12)) {
+  void InjectFault(RandomChoices& word) {
+    const auto for_ms = 200 + static_cast<DurationMs>(word.Next(6000));
+    auto& entry = entries_[word.Next(Limit::kEntries)];
+    auto& agent = agents_[word.Next(kAgents)];
+    switch (word.Next(12)) {
       case 0:
         entry.stopped_until = now_ + for_ms;
         break;
@@ -126,10 +126,10 @@
         agent.partitioned_until = now_ + for_ms;
         break;
       case 4:
-        StartEntry(static_cast<int>(word.Take(Limit::kEntries)));
+        StartEntry(static_cast<int>(word.Next(Limit::kEntries)));
         break;
       case 5:
-        RestartAgent(word.Take(kAgents));
+        RestartAgent(word.Next(kAgents));
         break;
       case 6:
         overload_until_ = now_ + for_ms;
@@ -153,7 +153,7 @@
                      to.partitioned_until}) <= now_;
   }
 
-  void Advance(Word& word) {
+  void Advance(RandomChoices& word) {
     now_ += kStepMs;
     Deliver(word);
     for (int n = 0; n < Limit::kEntries; ++n) {
@@ -165,20 +165,20 @@
     CheckWindow();
   }
 
-  void RunEntry(int n, Word& word) {
+  void RunEntry(int n, RandomChoices& word) {
     Entry& entry = entries_[static_cast<std::size_t>(n)];
     if (now_ - entry.heartbeat_sent_at >= kHeartbeatMs) SendHeartbeats(n);
     CountAdmitted(n, entry.client->Expire(now_));
     const std::uint32_t most = now_ < overload_until_ ? 12 : 3;
-    const auto requests = word.Take(most);
+    const auto requests = word.Next(most);
     for (std::uint32_t k = 0; k < requests; ++k) {
       const auto admission = Limit::Acquire(entry.client.get(), ++last_ticket_, now_);
       if (admission.decision == QuotaClient::Decision::kAdmitted) RecordAdmission(1);
     }
     for (auto& it : entry.client->TakeMessages(now_)) {
       const int agent = it.instance.back() - '0';
-      const bool is_lost = !CanCommunicate(n, agent) || word.Take(50) == 0;
-      const DurationMs delay = 1 + static_cast<DurationMs>(word.Take(kMaxDelayMs));
+      const bool is_lost = !CanCommunicate(n, agent) || word.Next(50) == 0;
+      const DurationMs delay = 1 + static_cast<DurationMs>(word.Next(kMaxDelayMs));
       if (!is_lost)
         in_flight_.push_back({now_ + delay, n, agent, std::move(it.request), std::nullopt});
     }
@@ -203,7 +203,7 @@
     entry.client->SetAllocators(std::move(allocators), now_);
   }
 
-  void Deliver(Word& word) {
+  void Deliver(RandomChoices& word) {
     std::vector<InFlightMessage> due;
     const auto is_due = [this](const InFlightMessage& it) { return it.deliver_at <= now_; };
     std::copy_if(in_flight_.begin(), in_flight_.end(), std::back_inserter(due), is_due);
@@ -218,7 +218,7 @@
       }
       QuotaGrant grant =
           agents_[static_cast<std::size_t>(it.agent)].allocator->OnRequest(*it.request, now_);
-      const DurationMs delay = 1 + static_cast<DurationMs>(word.Take(kMaxDelayMs));
+      const DurationMs delay = 1 + static_cast<DurationMs>(word.Next(kMaxDelayMs));
       in_flight_.push_back({now_ + delay, it.entry, it.agent, std::nullopt, std::move(grant)});
     }
   }
@@ -298,13 +298,13 @@
 TEST_GROUP(RandomQuota){};
 
 TEST(RandomQuota, BoundsTheTotalOfAllEntriesForAnOrganisation) {
-  CHECK(RunAtRandom<World<OrganisationLimit>>("quotas"));
+  CHECK(RunRandomTest<World<OrganisationLimit>>("quotas"));
 }
 
 // Guards against entries that apply the limit of an upstream individually.
 TEST(RandomQuota, BoundsTheTotalOfAllEntriesForAnUpstream) {
-  CHECK(RunAtRandom<World<UpstreamLimit<4>>>("upstream limits, few entries"));
-  CHECK(RunAtRandom<World<UpstreamLimit<25>>>("upstream limits, many entries"));
+  CHECK(RunRandomTest<World<UpstreamLimit<4>>>("upstream limits, few entries"));
+  CHECK(RunRandomTest<World<UpstreamLimit<25>>>("upstream limits, many entries"));
 }
 
 TEST(RandomQuota, UsesTheWholeLimitUnderOverload) {
