--- a/test/quarantine_test.cc
+++ b/test/quarantine_test.cc
@@ -17,8 +17,8 @@
 Suspect WithEvent(const std::string& body) { return {DigestFor(body), true, false}; }
 Suspect Isolated(const std::string& body) { return {DigestFor(body), false, true}; }
 
-std::string Name(QuarantineStatus standing) {
-  switch (standing) {
+std::string Name(QuarantineStatus status) {
+  switch (status) {
     case QuarantineStatus::kClear:
       return "clear";
     case QuarantineStatus::kSuspect:
--- a/test/random_quarantine_test.cc
+++ b/test/random_quarantine_test.cc
@@ -60,17 +60,17 @@
 // that case other requests may be refused: an entry that does not know of a suspect may send a
 // request to the same upstream.
 template <bool has_partitions>
-class World {
+class QuarantineSimulation {
  public:
-  explicit World(std::uint32_t) : entries_(kEntries), upstreams_(kUpstreams) {}
+  explicit QuarantineSimulation(std::uint32_t) : entries_(kEntries), upstreams_(kUpstreams) {}
 
-  void Step(RandomChoices word) {
+  void Step(RandomChoices choices) {
     now_ += kStepMs;
-    const auto choice = word.Next(16);
-    if (choice == 0 && has_partitions) Partition(entries_[word.Next(kEntries)], word);
-    if (choice <= 3) return ResendDeadly(word);
-    if (choice <= 9) Send(++requests_, static_cast<int>(word.Next(kEntries)), word);
-    Advance(word);
+    const auto choice = choices.Next(16);
+    if (choice == 0 && has_partitions) Partition(entries_[choices.Next(kEntries)], choices);
+    if (choice <= 3) return ResendDeadly(choices);
+    if (choice <= 9) Send(++requests_, static_cast<int>(choices.Next(kEntries)), choices);
+    Advance(choices);
   }
 
   void Drain() {
@@ -87,16 +87,16 @@
     return "u" + std::to_string(upstream) + "-" + std::to_string(start);
   }
 
-  void Partition(Entry& entry, RandomChoices word) {
-    entry.partitioned_until = now_ + 500 + static_cast<TimeMs>(word.Next(3000));
+  void Partition(Entry& entry, RandomChoices choices) {
+    entry.partitioned_until = now_ + 500 + static_cast<TimeMs>(choices.Next(3000));
   }
 
   // Waits until reports of the last crash have arrived: other tests cover earlier repetitions.
-  void ResendDeadly(RandomChoices word) {
+  void ResendDeadly(RandomChoices choices) {
     if (now_ - last_crash_at_ > kMaxDelayMs + kStepMs && !IsRunning(kDeadly)) {
-      Send(kDeadly, static_cast<int>(word.Next(kEntries)), word);
+      Send(kDeadly, static_cast<int>(choices.Next(kEntries)), choices);
     }
-    Advance(word);
+    Advance(choices);
   }
 
   bool IsRunning(int request) const {
@@ -106,12 +106,12 @@
     });
   }
 
-  void Send(int request, int from, RandomChoices word) {
+  void Send(int request, int from, RandomChoices choices) {
     Entry& entry = entries_[static_cast<std::size_t>(from)];
     const RequestDigest digest = DigestFor(request);
-    const QuarantineStatus standing = entry.table.StatusOf(digest, now_);
-    if (standing == QuarantineStatus::kRefused) return;
-    const auto occupied = standing == QuarantineStatus::kSuspect
+    const QuarantineStatus status = entry.table.StatusOf(digest, now_);
+    if (status == QuarantineStatus::kRefused) return;
+    const auto occupied = status == QuarantineStatus::kSuspect
                               ? entry.isolation.OccupiedByOthers(digest)
                               : std::vector<std::string>();
     std::vector<std::size_t> free;
@@ -121,9 +121,9 @@
       if (is_free) free.push_back(n);
     }
     if (free.empty()) return;
-    const std::size_t to = free[word.Next(static_cast<std::uint32_t>(free.size()))];
+    const std::size_t to = free[choices.Next(static_cast<std::uint32_t>(free.size()))];
     Upstream& upstream = upstreams_[to];
-    const bool was_isolated = standing == QuarantineStatus::kSuspect &&
+    const bool was_isolated = status == QuarantineStatus::kSuspect &&
                               entry.isolation.Reserve(Name(to, upstream.starts), digest);
     upstream.runs.push_back({request, from, now_, was_isolated});
     if (request == kDeadly) CheckLateSend(entry);
@@ -138,9 +138,9 @@
             "expected at most three sends once all entries know, got more");
   }
 
-  void Advance(RandomChoices word) {
+  void Advance(RandomChoices choices) {
     Deliver();
-    for (std::size_t n = 0; n < upstreams_.size(); ++n) Serve(n, word);
+    for (std::size_t n = 0; n < upstreams_.size(); ++n) Serve(n, choices);
     for (auto& it : entries_) {
       it.table.Expire(now_);
       for (const auto& refused : it.table.TakeNewRefusals()) {
@@ -168,12 +168,12 @@
                    notices_.end());
   }
 
-  void Serve(std::size_t n, RandomChoices word) {
+  void Serve(std::size_t n, RandomChoices choices) {
     Upstream& upstream = upstreams_[n];
     const bool is_crashing = std::any_of(
         upstream.runs.begin(), upstream.runs.end(),
         [&](const Run& it) { return it.request == kDeadly && now_ - it.since >= kDeadlyRunMs; });
-    if (is_crashing) return Crash(n, word);
+    if (is_crashing) return Crash(n, choices);
     for (const auto& it : upstream.runs) {
       if (now_ - it.since < kRunMs) continue;
       Entry& entry = entries_[static_cast<std::size_t>(it.entry)];
@@ -185,7 +185,7 @@
                         upstream.runs.end());
   }
 
-  void Crash(std::size_t n, RandomChoices word) {
+  void Crash(std::size_t n, RandomChoices choices) {
     Upstream& upstream = upstreams_[n];
     const std::string name = Name(n, upstream.starts);
     if (++crashes_ == kCrashesToPropagate) third_crash_at_ = now_;
@@ -199,7 +199,7 @@
         if (it.entry != k || is_harmless) continue;
         crash.suspects.push_back({DigestFor(it.request), has_sent_event, it.was_isolated});
       }
-      Notify(k, crash, word);
+      Notify(k, crash, choices);
     }
     const auto interrupted = std::exchange(upstream.runs, {});
     for (const auto& it : interrupted) {
@@ -210,15 +210,15 @@
     // Callers of the other requests retry once, after the reports have been sent.
     for (const auto& it : interrupted) {
       if (it.request != kDeadly && retried_.insert(it.request).second)
-        Send(it.request, it.entry, word);
+        Send(it.request, it.entry, choices);
     }
   }
 
-  void Notify(int from, const UpstreamCrash& crash, RandomChoices word) {
+  void Notify(int from, const UpstreamCrash& crash, RandomChoices choices) {
     if (crash.suspects.empty()) return;
     entries_[static_cast<std::size_t>(from)].table.Add(crash, now_);
     for (int k = 0; k < kEntries; ++k) {
-      const auto delay = 1 + static_cast<DurationMs>(word.Next(kMaxDelayMs));
+      const auto delay = 1 + static_cast<DurationMs>(choices.Next(kMaxDelayMs));
       if (k != from) notices_.push_back({k, now_ + delay, crash});
     }
   }
@@ -240,11 +240,11 @@
 TEST_GROUP(RandomQuarantine){};
 
 TEST(RandomQuarantine, RefusesOnlyTheDeadlyRequestInTime) {
-  CHECK(RunRandomTest<World<false>>("quarantine"));
+  CHECK(RunRandomTest<QuarantineSimulation<false>>("quarantine"));
 }
 
 TEST(RandomQuarantine, KeepsItsBoundUnderPartitions) {
-  CHECK(RunRandomTest<World<true>>("quarantine with cuts"));
+  CHECK(RunRandomTest<QuarantineSimulation<true>>("quarantine with cuts"));
 }
 
 }  // namespace junctionrail::test
--- a/test/random_quota_test.cc
+++ b/test/random_quota_test.cc
@@ -81,21 +81,21 @@
 };
 
 template <class Limit>
-class World {
+class QuotaSimulation {
  public:
-  explicit World(std::uint32_t) : entries_(Limit::kEntries), agents_(kAgents) {
+  explicit QuotaSimulation(std::uint32_t) : entries_(Limit::kEntries), agents_(kAgents) {
     for (int n = 0; n < Limit::kEntries; ++n) StartEntry(n);
     for (auto& it : agents_) it.allocator = std::make_unique<QuotaAllocator>();
   }
 
-  void Step(RandomChoices word) {
-    InjectFault(word);
-    for (int n = 0; n < 10; ++n) Advance(word);
+  void Step(RandomChoices choices) {
+    InjectFault(choices);
+    for (int n = 0; n < 10; ++n) Advance(choices);
   }
 
   void Drain() {
-    RandomChoices word(7);
-    for (int n = 0; n < 100; ++n) Advance(word);
+    RandomChoices choices(7);
+    for (int n = 0; n < 100; ++n) Advance(choices);
   }
 
  private:
@@ -108,11 +108,11 @@
     it.heartbeat_sent_at = 0;
   }
 
-  void InjectFault(RandomChoices& word) {
-    const auto for_ms = 200 + static_cast<DurationMs>(word.Next(6000));
-    auto& entry = entries_[word.Next(Limit::kEntries)];
-    auto& agent = agents_[word.Next(kAgents)];
-    switch (word.Next(12)) {
+  void InjectFault(RandomChoices& choices) {
+    const auto for_ms = 200 + static_cast<DurationMs>(choices.Next(6000));
+    auto& entry = entries_[choices.Next(Limit::kEntries)];
+    auto& agent = agents_[choices.Next(kAgents)];
+    switch (choices.Next(12)) {
       case 0:
         entry.stopped_until = now_ + for_ms;
         break;
@@ -126,10 +126,10 @@
         agent.partitioned_until = now_ + for_ms;
         break;
       case 4:
-        StartEntry(static_cast<int>(word.Next(Limit::kEntries)));
+        StartEntry(static_cast<int>(choices.Next(Limit::kEntries)));
         break;
       case 5:
-        RestartAgent(word.Next(kAgents));
+        RestartAgent(choices.Next(kAgents));
         break;
       case 6:
         overload_until_ = now_ + for_ms;
@@ -153,11 +153,11 @@
                      to.partitioned_until}) <= now_;
   }
 
-  void Advance(RandomChoices& word) {
+  void Advance(RandomChoices& choices) {
     now_ += kStepMs;
-    Deliver(word);
+    Deliver(choices);
     for (int n = 0; n < Limit::kEntries; ++n) {
-      if (entries_[static_cast<std::size_t>(n)].stopped_until <= now_) RunEntry(n, word);
+      if (entries_[static_cast<std::size_t>(n)].stopped_until <= now_) RunEntry(n, choices);
     }
     for (auto& it : agents_) {
       if (it.stopped_until <= now_) it.allocator->Tick(now_);
@@ -165,20 +165,20 @@
     CheckWindow();
   }
 
-  void RunEntry(int n, RandomChoices& word) {
+  void RunEntry(int n, RandomChoices& choices) {
     Entry& entry = entries_[static_cast<std::size_t>(n)];
     if (now_ - entry.heartbeat_sent_at >= kHeartbeatMs) SendHeartbeats(n);
     CountAdmitted(n, entry.client->Expire(now_));
     const std::uint32_t most = now_ < overload_until_ ? 12 : 3;
-    const auto requests = word.Next(most);
+    const auto requests = choices.Next(most);
     for (std::uint32_t k = 0; k < requests; ++k) {
       const auto admission = Limit::Acquire(entry.client.get(), ++last_ticket_, now_);
       if (admission.decision == QuotaClient::Decision::kAdmitted) RecordAdmission(1);
     }
     for (auto& it : entry.client->TakeMessages(now_)) {
       const int agent = it.instance.back() - '0';
-      const bool is_lost = !CanCommunicate(n, agent) || word.Next(50) == 0;
-      const DurationMs delay = 1 + static_cast<DurationMs>(word.Next(kMaxDelayMs));
+      const bool is_lost = !CanCommunicate(n, agent) || choices.Next(50) == 0;
+      const DurationMs delay = 1 + static_cast<DurationMs>(choices.Next(kMaxDelayMs));
       if (!is_lost)
         in_flight_.push_back({now_ + delay, n, agent, std::move(it.request), std::nullopt});
     }
@@ -203,7 +203,7 @@
     entry.client->SetAllocators(std::move(allocators), now_);
   }
 
-  void Deliver(RandomChoices& word) {
+  void Deliver(RandomChoices& choices) {
     std::vector<InFlightMessage> due;
     const auto is_due = [this](const InFlightMessage& it) { return it.deliver_at <= now_; };
     std::copy_if(in_flight_.begin(), in_flight_.end(), std::back_inserter(due), is_due);
@@ -218,7 +218,7 @@
       }
       QuotaGrant grant =
           agents_[static_cast<std::size_t>(it.agent)].allocator->OnRequest(*it.request, now_);
-      const DurationMs delay = 1 + static_cast<DurationMs>(word.Next(kMaxDelayMs));
+      const DurationMs delay = 1 + static_cast<DurationMs>(choices.Next(kMaxDelayMs));
       in_flight_.push_back({now_ + delay, it.entry, it.agent, std::nullopt, std::move(grant)});
     }
   }
@@ -298,13 +298,13 @@
 TEST_GROUP(RandomQuota){};
 
 TEST(RandomQuota, BoundsTheTotalOfAllEntriesForAnOrganisation) {
-  CHECK(RunRandomTest<World<OrganisationLimit>>("quotas"));
+  CHECK(RunRandomTest<QuotaSimulation<OrganisationLimit>>("quotas"));
 }
 
 // Guards against entries that apply the limit of an upstream individually.
 TEST(RandomQuota, BoundsTheTotalOfAllEntriesForAnUpstream) {
-  CHECK(RunRandomTest<World<UpstreamLimit<4>>>("upstream limits, few entries"));
-  CHECK(RunRandomTest<World<UpstreamLimit<25>>>("upstream limits, many entries"));
+  CHECK(RunRandomTest<QuotaSimulation<UpstreamLimit<4>>>("upstream limits, few entries"));
+  CHECK(RunRandomTest<QuotaSimulation<UpstreamLimit<25>>>("upstream limits, many entries"));
 }
 
 TEST(RandomQuota, UsesTheWholeLimitUnderOverload) {
