--- a/test/random_quarantine_test.cc
+++ b/test/random_quarantine_test.cc
@@ -1,5 +1,6 @@
-// Entries and what they tell each other of upstreams that end, in random worlds: a request that
-// ends whoever runs it is soon sent by nobody, and no other one is refused for it.
+// Property tests of the quarantine: entries exchange reports of upstream crashes under random
+// events. A request that crashes every upstream must soon be refused by all entries, and no other
+// request may be refused because of it.
 #include <algorithm>
 #include <optional>
 #include <set>
@@ -14,15 +15,15 @@
 constexpr TimeMs kStepMs = 10;
 constexpr int kEntries = 4;
 constexpr int kUpstreams = 6;
-// A deadly run takes as long as in the record; another streams for longer than it takes to be
-// cleared.
+// The deadly request crashes its upstream after a time within the recorded range; other requests
+// run long enough to be cleared.
 constexpr DurationMs kDeadlyRunMs = 60;
 constexpr DurationMs kRunMs = 400;
 constexpr DurationMs kFirstEventMs = 30;
 constexpr DurationMs kRestartMs = 700;
-// Word of an end is with all other entries that are not cut off within this.
+// Longest delay after which a report of a crash reaches entries that are not partitioned.
 constexpr DurationMs kMaxDelayMs = 40;
-// The users' bound: later than so long after the third end, three sends more at most.
+// The users' bound: at most kMaxLateSends sends from kPropagationMs after the third crash.
 constexpr DurationMs kPropagationMs = 3000;
 constexpr int kMaxLateSends = 3;
 constexpr int kCrashesToPropagate = 3;
@@ -55,20 +56,21 @@
   UpstreamCrash crash;
 };
 
-// `cuts`: entries are cut off from all word for a time, and told of all when that is over. Other
-// requests may be refused then: an entry that knows of no suspect sends one beside them.
+// With `has_partitions`, entries are temporarily partitioned and receive all reports afterwards. In
+// that case other requests may be refused: an entry that does not know of a suspect may send a
+// request to the same upstream.
 template <bool has_partitions>
-class World {
+class QuarantineSimulation {
  public:
-  explicit World(std::uint32_t) : entries_(kEntries), upstreams_(kUpstreams) {}
+  explicit QuarantineSimulation(std::uint32_t) : entries_(kEntries), upstreams_(kUpstreams) {}
 
-  void Step(RandomChoices word) {
+  void Step(RandomChoices choices) {
     now_ += kStepMs;
-    const auto choice = word.Next(16);
-    if (choice == 0 && has_partitions) Partition(entries_[word.Next(kEntries)], word);
-    if (choice <= 3) return ResendDeadly(word);
-    if (choice <= 9) Send(++requests_, static_cast<int>(word.Next(kEntries)), word);
-    Advance(word);
+    const auto choice = choices.Next(16);
+    if (choice == 0 && has_partitions) Partition(entries_[choices.Next(kEntries)], choices);
+    if (choice <= 3) return ResendDeadly(choices);
+    if (choice <= 9) Send(++requests_, static_cast<int>(choices.Next(kEntries)), choices);
+    Advance(choices);
   }
 
   void Drain() {
@@ -85,16 +87,16 @@
     return "u" + std::to_string(upstream) + "-" + std::to_string(start);
   }
 
-  void Partition(Entry& entry, RandomChoices word) {
-    entry.partitioned_until = now_ + 500 + static_cast<TimeMs>(word.Next(3000));
+  void Partition(Entry& entry, RandomChoices choices) {
+    entry.partitioned_until = now_ + 500 + static_cast<TimeMs>(choices.Next(3000));
   }
 
-  // Not sooner than word of the last end: that is another test's matter.
-  void ResendDeadly(RandomChoices word) {
+  // Waits until reports of the last crash have arrived: other tests cover earlier repetitions.
+  void ResendDeadly(RandomChoices choices) {
     if (now_ - last_crash_at_ > kMaxDelayMs + kStepMs && !IsRunning(kDeadly)) {
-      Send(kDeadly, static_cast<int>(word.Next(kEntries)), word);
+      Send(kDeadly, static_cast<int>(choices.Next(kEntries)), choices);
     }
-    Advance(word);
+    Advance(choices);
   }
 
   bool IsRunning(int request) const {
@@ -104,12 +106,12 @@
     });
   }
 
-  void Send(int request, int from, RandomChoices word) {
+  void Send(int request, int from, RandomChoices choices) {
     Entry& entry = entries_[static_cast<std::size_t>(from)];
     const RequestDigest digest = DigestFor(request);
-    const QuarantineStatus standing = entry.table.StatusOf(digest, now_);
-    if (standing == QuarantineStatus::kRefused) return;
-    const auto occupied = standing == QuarantineStatus::kSuspect
+    const QuarantineStatus status = entry.table.StatusOf(digest, now_);
+    if (status == QuarantineStatus::kRefused) return;
+    const auto occupied = status == QuarantineStatus::kSuspect
                               ? entry.isolation.OccupiedByOthers(digest)
                               : std::vector<std::string>();
     std::vector<std::size_t> free;
@@ -119,9 +121,9 @@
       if (is_free) free.push_back(n);
     }
     if (free.empty()) return;
-    const std::size_t to = free[word.Next(static_cast<std::uint32_t>(free.size()))];
+    const std::size_t to = free[choices.Next(static_cast<std::uint32_t>(free.size()))];
     Upstream& upstream = upstreams_[to];
-    const bool was_isolated = standing == QuarantineStatus::kSuspect &&
+    const bool was_isolated = status == QuarantineStatus::kSuspect &&
                               entry.isolation.Reserve(Name(to, upstream.starts), digest);
     upstream.runs.push_back({request, from, now_, was_isolated});
     if (request == kDeadly) CheckLateSend(entry);
@@ -133,12 +135,12 @@
         now_ - entry.connected_since > kPropagationMs && entry.partitioned_until <= now_;
     if (!is_propagated || !is_connected) return;
     Require(++late_sends_ <= kMaxLateSends,
-            "expected three sends at most once all entries know, got more");
+            "expected at most three sends once all entries know, got more");
   }
 
-  void Advance(RandomChoices word) {
+  void Advance(RandomChoices choices) {
     Deliver();
-    for (std::size_t n = 0; n < upstreams_.size(); ++n) Serve(n, word);
+    for (std::size_t n = 0; n < upstreams_.size(); ++n) Serve(n, choices);
     for (auto& it : entries_) {
       it.table.Expire(now_);
       for (const auto& refused : it.table.TakeNewRefusals()) {
@@ -158,7 +160,7 @@
   void Deliver() {
     for (const auto& it : notices_) {
       Entry& to = entries_[static_cast<std::size_t>(it.to)];
-      // What a cut keeps is told when it is over.
+      // Reports missed during a partition are received when it ends.
       if (it.at <= now_ && to.partitioned_until == 0) to.table.Add(it.crash, now_);
     }
     notices_.erase(std::remove_if(notices_.begin(), notices_.end(),
@@ -166,12 +168,12 @@
                    notices_.end());
   }
 
-  void Serve(std::size_t n, RandomChoices word) {
+  void Serve(std::size_t n, RandomChoices choices) {
     Upstream& upstream = upstreams_[n];
     const bool is_crashing = std::any_of(
         upstream.runs.begin(), upstream.runs.end(),
         [&](const Run& it) { return it.request == kDeadly && now_ - it.since >= kDeadlyRunMs; });
-    if (is_crashing) return Crash(n, word);
+    if (is_crashing) return Crash(n, choices);
     for (const auto& it : upstream.runs) {
       if (now_ - it.since < kRunMs) continue;
       Entry& entry = entries_[static_cast<std::size_t>(it.entry)];
@@ -183,7 +185,7 @@
                         upstream.runs.end());
   }
 
-  void Crash(std::size_t n, RandomChoices word) {
+  void Crash(std::size_t n, RandomChoices choices) {
     Upstream& upstream = upstreams_[n];
     const std::string name = Name(n, upstream.starts);
     if (++crashes_ == kCrashesToPropagate) third_crash_at_ = now_;
@@ -197,7 +199,7 @@
         if (it.entry != k || is_harmless) continue;
         crash.suspects.push_back({DigestFor(it.request), has_sent_event, it.was_isolated});
       }
-      Notify(k, crash, word);
+      Notify(k, crash, choices);
     }
     const auto interrupted = std::exchange(upstream.runs, {});
     for (const auto& it : interrupted) {
@@ -205,18 +207,18 @@
     }
     ++upstream.starts;
     upstream.down_until = now_ + kRestartMs;
-    // Callers of the others come back once, after the word.
+    // Callers of the other requests retry once, after the reports have been sent.
     for (const auto& it : interrupted) {
       if (it.request != kDeadly && retried_.insert(it.request).second)
-        Send(it.request, it.entry, word);
+        Send(it.request, it.entry, choices);
     }
   }
 
-  void Notify(int from, const UpstreamCrash& crash, RandomChoices word) {
+  void Notify(int from, const UpstreamCrash& crash, RandomChoices choices) {
     if (crash.suspects.empty()) return;
     entries_[static_cast<std::size_t>(from)].table.Add(crash, now_);
     for (int k = 0; k < kEntries; ++k) {
-      const auto delay = 1 + static_cast<DurationMs>(word.Next(kMaxDelayMs));
+      const auto delay = 1 + static_cast<DurationMs>(choices.Next(kMaxDelayMs));
       if (k != from) notices_.push_back({k, now_ + delay, crash});
     }
   }
@@ -237,12 +239,12 @@
 
 TEST_GROUP(RandomQuarantine){};
 
-TEST(RandomQuarantine, RefusesNoOtherRequestAndIsQuick) {
-  CHECK(RunRandomTest<World<false>>("quarantine"));
+TEST(RandomQuarantine, RefusesOnlyTheDeadlyRequestInTime) {
+  CHECK(RunRandomTest<QuarantineSimulation<false>>("quarantine"));
 }
 
-TEST(RandomQuarantine, HoldsItsBoundWithEntriesCutOff) {
-  CHECK(RunRandomTest<World<true>>("quarantine with cuts"));
+TEST(RandomQuarantine, KeepsItsBoundUnderPartitions) {
+  CHECK(RunRandomTest<QuarantineSimulation<true>>("quarantine with cuts"));
 }
 
 }  // namespace junctionrail::test
