--- a/src/placement/host_election.cc
+++ b/src/placement/host_election.cc
@@ -1,4 +1,4 @@
-// Which entry gives orders to an engine that has no agent.
+// Elects the entry that gives orders to an engine without an agent.
 #include <algorithm>
 #include <utility>
 
@@ -7,19 +7,20 @@
 namespace junctionrail {
 namespace {
 
-// The times, and where they are from. refused_before_claim_ms: an agent's process that ended is
-// started again within a few seconds; one that is away for longer is taken not to be
-// there. claim_jitter_ms: of a hundred entries the first has claimed an engine before others
-// try, and four take some seconds. takeover_delay_ms: no other holder may have given an order
-// within three seconds, and an agent that starts meanwhile is found listening.
+// Reasons for the defaults of HostElectionTiming:
+// - refused_before_claim_ms: an agent process that exits is restarted within a few seconds;
+//   after a longer absence the engine is treated as having no agent.
+// - claim_jitter_ms: among a hundred entries the first has claimed the engine before the
+//   others try; among four the claim takes some seconds.
+// - takeover_delay_ms: no other holder may have given an order in the last three seconds, and
+//   an agent that starts in the meantime is detected by its open port.
 
-// What an order relies on must be as new as this: the last look at the port.
+// Maximum age of the last port probe for an order to rely on it.
 constexpr DurationMs kProbeFreshMs = 3000;
-// The lease ends here this much sooner than in the store, as clocks tick apart and
-// an order takes its time.
+// The lease is treated as expired this long before it expires in the store, to allow for clock
+// drift and for the time an order takes.
 constexpr DurationMs kLeaseMarginMs = 500;
-// A claim that is missing from a reading asked for so soon after it was made may
-// only have come later.
+// A read requested within this time of a claim may miss it because it preceded the claim.
 constexpr DurationMs kClaimVisibilityMs = 1000;
 
 }  // namespace
@@ -80,7 +81,7 @@
   for (auto& [engine, state] : engines_) {
     if (state.revision == 0 || requested_at < state.claimed_at + kClaimVisibilityMs) continue;
     const HostClaim* claim = FindClaim(engine);
-    // An agent that came back removes it.
+    // A returning agent removes the claim.
     if (claim == nullptr || claim->revision != state.revision) state.revision = 0;
   }
 }
@@ -145,7 +146,7 @@
   const EngineState& state = it->second;
   const bool has_lease = now < lease_until_ - kLeaseMarginMs;
   const bool is_settled = now >= state.claimed_at + timing_.takeover_delay_ms;
-  // A look that began after the wait was over.
+  // The probe must come after the end of the takeover delay.
   const bool is_refused = state.refused_since != 0 &&
                           state.refused_at >= state.claimed_at + timing_.takeover_delay_ms &&
                           now - state.refused_at < kProbeFreshMs;
--- a/src/placement/messages.cc
+++ b/src/placement/messages.cc
@@ -1,5 +1,5 @@
-// CBOR maps with short keys. A reader passes over keys it does not know, so
-// that processes of two versions understand each other.
+// Messages are CBOR maps with short keys. Readers ignore unknown keys, so processes of
+// different versions can exchange messages.
 #include <algorithm>
 #include <nlohmann/json.hpp>
 
@@ -27,7 +27,7 @@
   return loaded;
 }
 
-// What changes from one view to the next, without the rates of what is loaded.
+// The fields that change with every view, except the values per loaded model.
 json EngineLoadToJson(const EngineView& view) {
   json message = {{"ms", view.remaining_ms}, {"r", view.running}, {"w", view.waiting},
                   {"kv", view.kv_share},     {"e", view.entries}, {"wr", view.wants_per_s}};
@@ -59,7 +59,7 @@
   return list;
 }
 
-// A map by model, or a list in the order of what is loaded.
+// Reads values per model: a map by name, or a list in the order of `view.loaded`.
 std::map<std::string, double> ReadByModel(const json& it, const EngineView& view) {
   if (it.is_object()) return it.get<std::map<std::string, double>>();
   std::map<std::string, double> values;
@@ -69,7 +69,7 @@
   return values;
 }
 
-// A whole view must have all parts.
+// Reads the parts that the message contains; a full view must contain all of them.
 void ReadParts(const json& it, bool is_whole, EngineView* view) {
   if (is_whole || it.contains("m")) view->loaded = ReadLoaded(it.at("m"));
   if (is_whole || it.contains("l")) {
@@ -97,14 +97,14 @@
   }
 }
 
-// Element `n` of a list; a sender from before there was such an element left it
-// out.
+// Returns element `n` of a list, or `absent` for a sender of an older version that does not
+// send the element.
 template <class Value>
 Value ElementOr(const json& list, std::size_t n, Value absent) {
   return n < list.size() ? list.at(n).get<Value>() : absent;
 }
 
-// Element 7 of a wanted model held a target that no version reads any more.
+// Element 7 of a wanted model used to be a target. No supported version reads it.
 constexpr int kUnusedElement = 0;
 
 }  // namespace
@@ -151,7 +151,8 @@
 std::string EncodeViewUpdate(const EngineView& view, const ViewParts& parts) {
   json message = EngineLoadToJson(view);
   AddParts(view, parts, &message);
-  // In the order of what is loaded, which the reader knows: names are half the bytes.
+  // Sent as lists in the order of the loaded models, which the reader knows: the names would be
+  // half of the bytes.
   message["u"] = InLoadedOrder(view, view.per_s);
   message["c"] = InLoadedOrder(view, view.closing_ms);
   return PackCbor(message);
@@ -220,7 +221,7 @@
           ElementOr<DurationMs>(it, 6, 0), ElementOr<int>(it, 7, 0)});
     }
     demand->stage = message.at("s").get<std::vector<std::string>>();
-    // An entry from before there was such a field sets no bound.
+    // An entry of an older version, without the field, does not limit loads from the store.
     demand->may_load_from_store = message.value("f", true);
     demand->repeat_ms = message.value("p", demand->repeat_ms);
     demand->takes_updates = message.value("d", false);
--- a/src/placement/placement_core.cc
+++ b/src/placement/placement_core.cc
@@ -1,4 +1,4 @@
-// Which model an engine loads next and what makes room for it.
+// Chooses what an engine loads next and what it unloads to free memory.
 #include <algorithm>
 #include <cmath>
 #include <tuple>
@@ -9,60 +9,66 @@
 namespace junctionrail {
 namespace {
 
-// An entry that was silent for so many times as long as it repeats its demand has
-// gone, or will not be heard before its requests are lost.
+// An entry's demand expires after this many of its repeat periods without a message: the entry
+// is gone, or will not get through before its requests time out.
 constexpr double kDemandExpiryPeriods = 2.5;
-// An entry that has sent a request for a model within this may send the next one
-// before it hears that the model is gone.
+// An entry that sent a request for a model within this time may send another before it
+// learns that the model was removed.
 constexpr DurationMs kRecentUseMs = 5000;
-// A model just loaded is kept so long for the requests that waited for it.
+// A newly loaded model is not evicted for this long, so that the requests that waited for it
+// are served.
 constexpr DurationMs kMinResidencyMs = 800;
-// After an order whose answer was waited for in vain another is given so soon,
-// under the same sequence, of which only one can be carried out.
+// Delay before the next order if the engine did not answer the last one. Both carry the same
+// sequence number, so the engine executes at most one of them.
 constexpr DurationMs kUnansweredOrderRetryMs = 60;
-// An unload takes about so long once no request uses the model.
+// Estimated time of an unload once no request uses the model.
 constexpr DurationMs kUnloadEstimateMs = 400;
-// An accepted order shows in the next report, unless the engine lost it.
+// How long to wait for a report to show an accepted order. The next report normally does,
+// unless the engine lost the order.
 constexpr DurationMs kAcceptedOrderTimeoutMs = 2000;
-// After a conflict the report is read again before the next order.
+// Delay before the next order after a refused one, so that a new report is read first.
 constexpr DurationMs kConflictBackoffMs = 60;
-// When all models are in use, the one that is to go is closed to new requests
-// after so long: its runs take as long to end whether it is closed or not, and
-// new ones would keep it for ever. The wait lets a newer report show an idle one.
+// If all models are in use, one of them may be unloaded, and so closed to new requests, once
+// a request has waited this long. The running requests take as long to finish either way, and
+// without the unload new ones would keep the model in use forever. The delay gives a newer
+// report the chance to show an idle model.
 constexpr DurationMs kInterruptAfterMs = 150;
-// An answer beyond the target is worth less to its caller than one within it, and
-// hardly less when it comes still later: those that can be in time go first.
+// Weight of a caller that will miss its target in any case. A late answer is worth less than a
+// timely one, but little is lost if it is delayed further, so callers that can still be served
+// in time come first.
 constexpr double kLateCallerWeight = 0.25;
-// Staging closes only what hardly anybody asks for: milliseconds of callers.
+// Staging evicts only models with next to no demand: the limit of EvictionCost.
 constexpr double kMaxStagingEvictionCostMs = 100;
-// Staging must not take a model that was asked for as lately as this.
+// Staging does not evict a model that was requested within this time.
 constexpr DurationMs kStagingMinIdleMs = 1500;
-// The rate of wants is an average over about so long.
+// Averaging period of `new_waits_per_s_`.
 constexpr double kNewWaitRateWindowMs = 5000;
-// The end of the requests on a model that makes room, and another unload where
-// one was not enough, are over in so long.
+// How long freed memory stays reserved for the model that it was freed for. This covers the
+// remaining requests on the evicted model, and a second unload if one was not enough.
 constexpr DurationMs kReservationMs = 2500;
-// Demand moves within seconds: what a model is worth to its callers is counted
-// over so long.
+// The period over which future requests count towards a model's value. Demand shifts within
+// seconds, so it is short.
 constexpr double kDemandHorizonMs = 1000;
-// Between a request for a model that was closed and its return lie, besides the
-// load, the demand, two reports and the unload of another model.
+// Time from a request for an evicted model until the model is back, apart from the load: the
+// demand message, two reports and the unload of another model.
 constexpr DurationMs kSwapOverheadMs = 300;
-// Adapters that an engine fetches at the same time.
+// Number of adapters that an engine loads at the same time.
 constexpr std::size_t kMaxConcurrentAdapterLoads = 4;
-// Operators rank their routes: one caller of a rank counts as so many of the next
-// below. Thirty callers still outweigh one of the rank above, none is starved.
+// Operators give routes priorities: one caller counts as this many of the next lower priority.
+// With this ratio thirty callers still outweigh one of the next higher priority, so no priority
+// is starved.
 constexpr double kPriorityWeightRatio = 8;
 
-// What a caller loses by a wait, in milliseconds: all of it beyond the target, and
-// less the shorter it is within, as it uses up the time for what else may delay.
+// The cost of a wait to one caller, in milliseconds. A wait beyond the target counts in full.
+// A shorter one counts for a share that grows with its length, as it uses up the time left for
+// other delays.
 double WaitCost(DurationMs wait_ms, DurationMs target_ms) {
   const auto wait = static_cast<double>(wait_ms);
   return wait * std::min(1.0, wait / static_cast<double>(std::max<DurationMs>(1, target_ms)));
 }
 
-// What callers lose that arrive at one a millisecond in so long and all wait for
-// its end: the integral of the above.
+// The total cost to callers that arrive one per millisecond during `time_ms` and all wait
+// until its end: the integral of WaitCost.
 double ArrivalWaitCost(DurationMs time_ms, DurationMs target_ms) {
   const auto time = static_cast<double>(time_ms);
   const auto target = static_cast<double>(target_ms);
@@ -108,7 +114,7 @@
   }
   report_ = std::move(report);
   has_report_ = true;
-  // The engine took an order since: this one, or it can no longer be taken.
+  // The engine has accepted an order since: either this one, or one that makes this one invalid.
   if (pending_order_ && report_.sequence != pending_order_->expected_sequence)
     pending_order_.reset();
   if (!report_.is_busy && !pending_order_) {
@@ -116,7 +122,7 @@
     is_unloading_ = false;
   }
   if (report_.is_busy && changing_model_.empty()) {
-    // An order of the process before this one; which is not reported.
+    // An order by the process that gave orders before this one. Reports do not name it.
     changing_model_ = "unknown";
     changing_since_ = now;
     is_loading_from_store_ = false;
@@ -135,7 +141,7 @@
   UpdateNewWaitRate(now);
 }
 
-// The average rate at which requests begin to wait for a further model.
+// Updates the average rate at which further models begin to have waiting requests.
 void PlacementCore::UpdateNewWaitRate(TimeMs now) {
   std::set<std::string> waited_for;
   for (const auto& [link, it] : demands_) {
@@ -207,7 +213,7 @@
     demand.weight = WeightOf(demand);
     demands.push_back(std::move(demand));
   }
-  // Where most callers would be late first, then the one with the least time left.
+  // By descending weight; ties go to waiting requests first, then to the least time left.
   std::sort(demands.begin(), demands.end(), [](const CombinedDemand& a, const CombinedDemand& b) {
     if (a.weight != b.weight) return a.weight > b.weight;
     if ((a.waiting > 0) != (b.waiting > 0)) return a.waiting > 0;
@@ -216,11 +222,11 @@
   return demands;
 }
 
-// How many callers are in time if this model is the next and are not if another
-// is: those that wait and have just enough time left, those that come within the
-// horizon, and those in the queue of too few replicas. One that is late in any
-// case counts for a part. Over the time that the engine would spend on it, as
-// that keeps all others waiting.
+// Returns the number of callers that are served in time if this model is loaded next but not
+// if another is, per millisecond of the load, as the load delays all other models. These are
+// the waiting callers with just enough time left, those that arrive within the horizon, and
+// those that queue at too few replicas. A caller that is late in any case counts for a
+// fraction.
 double PlacementCore::WeightOf(const CombinedDemand& demand) const {
   const DurationMs swap_ms = EstimateLoadMs(demand.ref.model) + kSwapOverheadMs;
   if (!policy_.in_time_first) return demand.waiting * PriorityWeight(demand.priority);
@@ -236,11 +242,12 @@
   return callers * PriorityWeight(demand.priority) / static_cast<double>(swap_ms);
 }
 
-// Callers a second that a load from the weight store will serve. It takes longer than
-// most of those who wait now stay, so they count by the rate at which more like them
-// come; a further replica counts by what each one that there is gets. By waiting
-// requests alone, 48 rare models asked for once in some seconds kept the store from a
-// busy one whose callers came 60 a second to engines for 55.
+// Returns the callers per second that a load from the weight store will serve. The load takes
+// longer than most waiting callers stay, so they count by the rate at which such requests
+// arrive; a further replica counts by the request rate of each existing one. Weighing by
+// waiting requests alone let 48 rare models, each requested once in several seconds, keep the
+// weight store from a busy model that received 60 requests per second at engines with capacity
+// for 55.
 double PlacementCore::StoreLoadWeightOf(const CombinedDemand& demand) const {
   return (demand.requests_per_s + demand.requests_per_s_per_replica +
           demand.at_risk_requests_per_s) *
@@ -306,9 +313,9 @@
                       : target.adapter.empty() ? spec->size_mb
                                                : spec->adapter_mb;
     CheckInvariant(spec != nullptr && UsedMb() + mb <= spec_.accelerator_mb,
-                   "an order to load fits the accelerator's memory");
+                   "a load order fits into the accelerator's memory");
     CheckInvariant(target.adapter.empty() || UsedAdapterSlots() < spec_.adapter_places,
-                   "an order to load an adapter finds a free place");
+                   "a load order for an adapter finds a free adapter slot");
   }
   return EngineOrder{kind, std::move(target), report_.sequence, std::move(reason), {}};
 }
@@ -321,9 +328,9 @@
   return spec->store_load_ms;
 }
 
-// What closing a model costs its callers. It comes back with the next request,
-// if one comes soon; that one waits for all of the time it takes, and those that
-// arrive until then for the rest. Where there are other replicas they take its
+// Returns the cost to its callers of evicting a model. The model is reloaded on the next
+// request, if one arrives soon: that request waits for the whole reload, and those that arrive
+// meanwhile wait for the rest of it. If other replicas exist they take over this replica's
 // share of the requests, and the cost is what that share would have waited.
 double PlacementCore::EvictionCost(const std::string& model) const {
   if (!policy_.weighs_closing) return 0;
@@ -338,9 +345,9 @@
   return cost * PriorityWeight(use.priority);
 }
 
-// Of the models that may go, the one whose absence costs least. Among those that
-// cost the same: one that makes room alone, then the least asked for, then the
-// one asked for longest ago. None when all cost more than `most_ms`.
+// Returns the evictable model with the lowest eviction cost, or nothing if all cost more than
+// `max_cost_ms`. Ties go to a model that frees enough memory alone, then to the one with the
+// least demand, then to the least recently requested one.
 std::optional<std::string> PlacementCore::ChooseVictim(const std::vector<CombinedDemand>& demands,
                                                        double missing_mb, double max_cost_ms,
                                                        bool may_interrupt, TimeMs now) const {
@@ -361,7 +368,7 @@
     const double cost = EvictionCost(it.name);
     if (cost > max_cost_ms) continue;
     double value = use.requests_per_s / std::max(1, use.replicas) + use.in_flight;
-    // Many replicas and no request yet: operators expect it to be busy.
+    // A model with many replicas and no request yet: operators expect it to be busy.
     if (use.idle_ms < 0 && use.replicas > 1) value += 0.1 * use.replicas;
     const ModelSpec* spec = spec_.Find(it.name);
     const bool is_too_small = spec == nullptr || spec->size_mb < missing_mb;
@@ -374,9 +381,9 @@
   return best->name;
 }
 
-// Entries see the same views at different moments and give the weight store's places
-// out by them. What most of them say is what the fleet means; any one of them alone
-// let ten loads begin where four were meant.
+// Each entry grants the weight store's capacity by the views it has, and views reach entries at
+// different moments. A majority of the entries decides: when any single one was enough, ten
+// loads began where four were intended.
 bool PlacementCore::MayLoadFromStore() const {
   const auto n = std::count_if(demands_.begin(), demands_.end(),
                                [](const auto& it) { return it.second.demand.may_load_from_store; });
@@ -405,7 +412,7 @@
   const bool fits = UsedAdapterSlots() < spec_.adapter_places &&
                     UsedMb() + spec->adapter_mb <= spec_.accelerator_mb;
   if (fits) return MakeOrder(OrderKind::kLoad, demand.ref, "requests wait for the adapter");
-  // Least recently asked for first.
+  // Evict the least recently used adapter.
   std::optional<ModelRef> oldest;
   TimeMs oldest_at = 0;
   for (const auto& model : report_.loaded) {
@@ -414,7 +421,7 @@
       const bool is_wanted =
           std::any_of(demands.begin(), demands.end(),
                       [&](const CombinedDemand& other) { return other.ref == ref; });
-      // An unload waits for the requests that use it, and they keep coming.
+      // Unloading an adapter in use would wait for its requests, and new ones keep arriving.
       if (is_wanted || IsAdapterInUse(ref)) continue;
       const auto used = adapter_used_at_.find(ref);
       const TimeMs at = used == adapter_used_at_.end() ? 0 : used->second;
@@ -424,7 +431,7 @@
     }
   }
   if (!oldest) return std::nullopt;
-  return MakeOrder(OrderKind::kUnload, *oldest, "its place is needed for another adapter");
+  return MakeOrder(OrderKind::kUnload, *oldest, "its slot is needed for another adapter");
 }
 
 std::optional<EngineOrder> PlacementCore::ChooseModelOrder(
@@ -441,8 +448,8 @@
   }
   const bool may_interrupt =
       is_waited_for ? demand.age_ms > kInterruptAfterMs : demand.expected_late > 0;
-  // Room is made when those who wait will have lost as much by the time it is up
-  // as those who would then.
+  // Memory is freed once the waiting callers will have lost as much, by the time the model is
+  // loaded, as the eviction would cost the callers of the evicted model.
   const DurationMs waited = demand.age_ms + EstimateLoadMs(demand.ref.model) + kSwapOverheadMs;
   const auto lost_ms = static_cast<double>(demand.waiting * waited);
   const double max_cost_ms = (is_waited_for ? lost_ms : demand.expected_late * kDemandHorizonMs) *
@@ -479,7 +486,7 @@
   ExpireDemands(now);
   if (!has_report_ || !has_spec() || now < next_order_at_) return std::nullopt;
   if (pending_order_) {
-    // Whichever order is given now has the same sequence, so only one is taken.
+    // A new order carries the same sequence number, so the engine accepts only one of the two.
     const DurationMs timeout_ms =
         is_pending_unconfirmed_ ? kUnansweredOrderRetryMs : kAcceptedOrderTimeoutMs;
     if (now - pending_since_ < timeout_ms) return std::nullopt;
@@ -499,7 +506,7 @@
     auto order = ChooseAdapterOrder(it, demands);
     if (order) return order;
   }
-  // Room that others lost a model for goes to the one that was weighed against it.
+  // Memory freed by an eviction goes to the model whose demand justified the eviction.
   if (!reserved_for_.empty() && now - reserved_at_ < kReservationMs) {
     for (const auto& it : demands) {
       if (it.ref.model != reserved_for_) continue;
