--- a/test/fleet_simulation_test.cc
+++ b/test/fleet_simulation_test.cc
@@ -1,4 +1,4 @@
-// Whole fleets under load in model time: who is in time, who waits, what is loaded.
+// Tests simulated fleets under load: how many requests are on time, and what is loaded.
 #include "fleet_simulation.h"
 
 #include "check.h"
@@ -12,9 +12,9 @@
 constexpr int kBusyModels = 6;
 constexpr int kModels = 190;
 
-// A fifth of the large deployment: requests in the same proportion to its engines, most
-// of them for a few busy models, the others each for one of many that are asked for once
-// in some seconds and wait for two seconds without loss.
+// A fifth of the large deployment, with the same number of requests per engine. Most requests
+// are for a few busy models. The others are for many rare models, each requested once in
+// several seconds, with a target of two seconds.
 FleetConfig MakeFleet() {
   FleetConfig fleet;
   fleet.engines = 36;
@@ -29,46 +29,48 @@
 }
 
 std::string Describe(const testing::WorkloadOutcome& it) {
-  return "of " + std::to_string(it.requests) + ": in time " + std::to_string(it.on_time) +
+  return "of " + std::to_string(it.requests) + ": on time " + std::to_string(it.on_time) +
          ", late " + std::to_string(it.late) + ", refused " + std::to_string(it.refused) +
-         ", abandoned " + std::to_string(it.abandoned);
+         ", canceled " + std::to_string(it.abandoned);
 }
 
 }  // namespace
 
 TEST_GROUP(LargeFleets){};
 
-TEST(LargeFleets, ServeRareModelsFromDiskInTimeAndBusyOnesUndisturbed) {
+TEST(LargeFleets, ServeRareModelsFromDiskWithoutDelayingBusyOnes) {
   FleetConfig shape = MakeFleet();
   shape.disk_copies = 3;
   FleetSimulation fleet(shape);
   fleet.Run(20000);
   const auto& rare = fleet.Outcome("rare");
-  EXPECT_TRUE(rare.OnTimePercent() >= 90, "rare models, each on three disks: " + Describe(rare));
+  EXPECT_TRUE(rare.OnTimePercent() >= 90,
+              "rare models, each on the disks of three engines: " + Describe(rare));
   for (const char* name : {"busy", "short"}) {
     const auto& busy = fleet.Outcome(name);
     EXPECT_TRUE(busy.OnTimePercent() >= 97, std::string(name) + ": " + Describe(busy));
   }
 }
 
-TEST(LargeFleets, BeginNoMoreLoadsFromTheStoreThanItServesAndAFew) {
-  // Requests for 150 models that are on no disk come to 40 entries in a few seconds, and
-  // wait as long as it takes. A store that is asked for many at once has none up for long.
+TEST(LargeFleets, LimitConcurrentLoadsFromWeightStore) {
+  // Guards against too many concurrent loads from the weight store, which finishes none of them
+  // for a long time then. Within seconds, 40 entries get requests for 150 models that are on no
+  // disk and wait for as long as the loads take.
   FleetConfig shape = MakeFleet();
   shape.entries = 40;
   shape.models = kModels + 150;
   shape.loads = {shape.loads[0], {"rare", 56, kBusyModels, shape.models, 2000, 40000, 1700, 1}};
-  shape.disk_capacity = 3;  // What stands loaded, no more.
+  shape.disk_capacity = 3;  // Room for the loaded models only.
   for (const std::uint64_t seed : {1, 2, 3}) {
     shape.seed = seed;
     FleetSimulation fleet(shape);
     fleet.Run(5000);
-    EXPECT_TRUE(fleet.loads_from_store() <= 5, "expected four and at most one more, got " +
-                                                   std::to_string(fleet.loads_from_store()));
+    EXPECT_TRUE(fleet.loads_from_store() <= 5,
+                "expected at most five loads, got " + std::to_string(fleet.loads_from_store()));
   }
 }
 
-TEST(LargeFleets, GiveBusyModelsOfLostEnginesNewReplicas) {
+TEST(LargeFleets, ReplaceBusyReplicasOfLostEngines) {
   FleetConfig shape = MakeFleet();
   shape.disk_copies = 6;
   FleetSimulation fleet(shape);
@@ -81,15 +83,15 @@
   const int in_time = fleet.Outcome("busy").on_time - before;
   const int came = fleet.Outcome("busy").requests - asked;
   EXPECT_TRUE(in_time * 100 >= came * 95,
-              "six seconds after a third of the engines was lost: " + std::to_string(in_time) +
-                  " of " + std::to_string(came) + " in time");
+              "from 6 s after the loss of a third of the engines: " + std::to_string(in_time) +
+                  " of " + std::to_string(came) + " on time");
 }
 
 namespace {
 
-// A small fleet whose engines are replaced one by one, the new one first: some busy
-// models, and others that come from disk in time. The weight store serves four
-// loads of 6 s at once.
+// A small fleet whose engines are replaced one by one, each by a new engine that starts before
+// the old one leaves. Requests are for a few busy models, and for others that load from disk in
+// time. The weight store serves four loads of 6 s at once.
 constexpr int kReplaced = 9;
 
 FleetConfig MakeSmallFleet(std::uint64_t seed) {
@@ -112,12 +114,12 @@
 
 }  // namespace
 
-TEST_GROUP(ReplacedEngines){};
+TEST_GROUP(RollingReplacement){};
 
 namespace {
 
-// Of a hundred requests for busy models, those in time from before the first engine
-// is replaced until six seconds after the last one has left.
+// Returns the percentage of requests for busy models that are on time, from before the first
+// engine is replaced until six seconds after the last old one has left.
 int InTimeWhileReplaced(const FleetConfig& shape) {
   FleetSimulation fleet(shape);
   fleet.Run(6000);
@@ -134,10 +136,11 @@
 
 }  // namespace
 
-TEST(ReplacedEngines, HandBusyModelsOverBeforeTheLastOldOneLeaves) {
-  // Fresh engines stood idle, and the weight store with them, while the old ones left one
-  // by one; then busy models came up one after the other, six seconds each. On average
-  // over these seeds 72 in a hundred were in time without spare copies, 88 with.
+TEST(RollingReplacement, LoadsSpareCopiesOfBusyModels) {
+  // Guards against losing the busy models in a rolling replacement: the new engines and the
+  // weight store stayed idle while the old engines left one by one, and the busy models were then
+  // loaded one after another at 6 s each. On average over these seeds 72% of the requests were on
+  // time without spare copies, 88% with them.
   constexpr int kSeeds = 6;
   int with = 0;
   int without = 0;
@@ -147,8 +150,8 @@
     shape.policy.spares = false;
     without += InTimeWhileReplaced(shape);
   }
-  EXPECT_TRUE(with >= 85 * kSeeds, "with " + std::to_string(with / kSeeds) + ", without " +
-                                       std::to_string(without / kSeeds) + " in a hundred");
+  EXPECT_TRUE(with >= 85 * kSeeds, "on time with spare copies " + std::to_string(with / kSeeds) +
+                                       "%, without " + std::to_string(without / kSeeds) + "%");
 }
 
 }  // namespace junctionrail
--- a/test/host_election_test.cc
+++ b/test/host_election_test.cc
@@ -1,4 +1,4 @@
-// Which entry gives orders to an engine that has no agent, without sockets.
+// Tests which entry gives orders to an engine without an agent, without sockets.
 #include <map>
 #include <random>
 #include <set>
@@ -15,7 +15,7 @@
 constexpr DurationMs kStepMs = 250;
 constexpr DurationMs kTtlMs = 3000;
 
-// One entry before one engine whose agent is away.
+// One entry and one engine without an agent.
 struct Entry {
   explicit Entry(const std::string& name = "entry-1") : election(name, Timing()) {}
 
@@ -25,7 +25,7 @@
     return timing;
   }
 
-  // Looks at the port as often as is asked for.
+  // Advances time, and answers each probe that becomes due with `result`.
   void RunFor(DurationMs ms, ProbeResult result) {
     for (const TimeMs until = now + ms; now < until; now += kStepMs) {
       election.SetEnginesWithoutView({kEngine}, now);
@@ -49,70 +49,73 @@
 
 TEST_GROUP(HostElections){};
 
-TEST(HostElections, ClaimAnEngineOnceNothingHasListenedForSixSeconds) {
+TEST(HostElections, ClaimEngineAfterSixSecondsOfRefusals) {
   Entry entry;
   entry.RunFor(5000, ProbeResult::kRefused);
-  EXPECT_TRUE(!entry.WantsToClaim(), "its agent may only be starting again");
+  EXPECT_TRUE(!entry.WantsToClaim(), "the agent may just be restarting");
   entry.RunFor(3500, ProbeResult::kRefused);
   EXPECT_TRUE(entry.WantsToClaim(), "");
 }
 
-TEST(HostElections, ClaimNothingThatIsOnlySilent) {
-  // A cut between this entry and the engine's VM, or a paused VM.
+TEST(HostElections, DoNotClaimUnreachableEngine) {
+  // As in a network partition between this entry and the engine's VM, or if the VM is paused.
   Entry entry;
   entry.RunFor(20000, ProbeResult::kNoAnswer);
-  EXPECT_TRUE(!entry.WantsToClaim(), "an agent may well be there");
+  EXPECT_TRUE(!entry.WantsToClaim(), "the agent may still be running");
   entry.RunFor(5000, ProbeResult::kRefused);
   entry.RunFor(2500, ProbeResult::kNoAnswer);
   entry.RunFor(4000, ProbeResult::kRefused);
-  EXPECT_TRUE(!entry.WantsToClaim(), "nothing is known of the time in between");
+  EXPECT_TRUE(!entry.WantsToClaim(), "the refusals were interrupted");
 }
 
-TEST(HostElections, ClaimNothingThatAnotherEntryHolds) {
+TEST(HostElections, DoNotClaimEngineOfAnotherEntry) {
   Entry entry;
   entry.RunFor(9000, ProbeResult::kRefused);
   entry.election.OnClaims({{kEngine, "entry-2", {"10.0.0.8", 90}, 7}}, entry.now);
   EXPECT_TRUE(!entry.WantsToClaim(), "");
   EXPECT_TRUE(entry.election.FindClaim(kEngine)->demand_endpoint.address == "10.0.0.8",
-              "demand goes there");
+              "demand goes to the holder");
   entry.election.OnClaims({}, entry.now);
   entry.RunFor(3000, ProbeResult::kRefused);
-  EXPECT_TRUE(entry.WantsToClaim(), "the other's lease has ended");
+  EXPECT_TRUE(entry.WantsToClaim(), "the other entry's lease has expired");
 }
 
-TEST(HostElections, GiveNoOrderUntilAnEarlierHolderCanHaveGivenNoneForThreeSeconds) {
+TEST(HostElections, GiveNoTokenBeforeTakeoverDelay) {
   Entry entry;
   entry.RunFor(9000, ProbeResult::kRefused);
   entry.Claim(41);
-  EXPECT_NUMBER(0, entry.election.FencingTokenFor(kEngine, entry.now), "just claimed");
+  EXPECT_NUMBER(0, entry.election.FencingTokenFor(kEngine, entry.now),
+                "immediately after the claim");
   entry.RunFor(3250, ProbeResult::kRefused);
-  EXPECT_NUMBER(0, entry.election.FencingTokenFor(kEngine, entry.now), "3.25 s later");
+  EXPECT_NUMBER(0, entry.election.FencingTokenFor(kEngine, entry.now), "3.25 s after the claim");
   entry.RunFor(1500, ProbeResult::kRefused);
-  EXPECT_NUMBER(41, entry.election.FencingTokenFor(kEngine, entry.now), "the claim's revision");
+  EXPECT_NUMBER(41, entry.election.FencingTokenFor(kEngine, entry.now),
+                "the token is the claim's revision");
 }
 
-TEST(HostElections, StopBeforeTheirLeaseEnds) {
+TEST(HostElections, StopBeforeLeaseExpires) {
   Entry entry;
   entry.RunFor(9000, ProbeResult::kRefused);
   entry.Claim(41);
   entry.RunFor(5000, ProbeResult::kRefused);
   entry.renews_lease = false;
   entry.RunFor(2000, ProbeResult::kRefused);
-  EXPECT_NUMBER(41, entry.election.FencingTokenFor(kEngine, entry.now), "2 s after it was kept");
+  EXPECT_NUMBER(41, entry.election.FencingTokenFor(kEngine, entry.now),
+                "more than 2 s after the last renewal");
   entry.RunFor(750, ProbeResult::kRefused);
   EXPECT_NUMBER(0, entry.election.FencingTokenFor(kEngine, entry.now),
-                "half a second before its end");
+                "within 500 ms of the end of the lease");
   EXPECT_NUMBER(0, entry.election.FencingTokenFor(kEngine, entry.now + 60000),
-                "after a minute in which this process stood still");
+                "after the process was paused for a minute");
 }
 
-TEST(HostElections, StopWhenAnAgentListensOrTheClaimIsGone) {
+TEST(HostElections, StopWhenAgentReturnsOrClaimIsRemoved) {
   Entry entry;
   entry.RunFor(9000, ProbeResult::kRefused);
   entry.Claim(41);
   entry.RunFor(5000, ProbeResult::kRefused);
   entry.RunFor(1250, ProbeResult::kOpen);
-  EXPECT_NUMBER(0, entry.election.FencingTokenFor(kEngine, entry.now), "an agent is there");
+  EXPECT_NUMBER(0, entry.election.FencingTokenFor(kEngine, entry.now), "the agent is back");
   EXPECT_NUMBER(1, entry.election.EnginesToRelease().size(), "");
 
   Entry other;
@@ -121,14 +124,14 @@
   other.RunFor(5000, ProbeResult::kRefused);
   other.election.OnClaims({}, other.now);
   EXPECT_NUMBER(0, other.election.FencingTokenFor(kEngine, other.now),
-                "an agent removed the claim");
+                "the agent removed the claim");
   EXPECT_TRUE(other.election.HostedEngines().empty(), "");
 }
 
 namespace {
 
-// A store with one key under a lease, and entries that freeze, are cut off from it, and
-// take time for each call.
+// A store with a claim under a lease, and entries that pause and are partitioned from the store
+// at random, and may lose the answer to a claim.
 class HostElectionSimulation {
  public:
   explicit HostElectionSimulation(std::uint64_t seed) : random_(seed) {
@@ -144,7 +147,7 @@
     }
   }
 
-  // The shortest time between orders of two holders; and whether a token ever fell.
+  // The shortest time between orders of two different holders.
   DurationMs shortest_gap() const { return shortest_gap_; }
   bool has_token_decreased() const { return has_token_decreased_; }
   int handovers() const { return handovers_; }
@@ -200,7 +203,7 @@
     claim_ = HostClaim{kEngine, "entry-" + std::to_string(n), {}, ++revision_};
     holder_lease_ = it->lease;
     if (!WithProbability(0.2)) return it->election.OnClaimed(*claim_, now_);
-    // The answer is lost: the lease is left.
+    // The answer is lost, so the entry abandons its lease.
     it->election.OnLeaseEnded();
     it->lease = 0;
   }
@@ -222,7 +225,7 @@
   TimeMs now_ = 100000;
   std::vector<Member> entries_;
   std::optional<HostClaim> claim_;
-  std::map<std::int64_t, TimeMs> leases_;  // When each ends in the store.
+  std::map<std::int64_t, TimeMs> leases_;  // Expiry times in the store.
   std::int64_t holder_lease_ = 0;
   std::int64_t revision_ = 0;
   int last_holder_ = -1;
@@ -235,21 +238,21 @@
 
 }  // namespace
 
-TEST(HostElections, NeverLetTwoEntriesGiveOrdersWithinThreeSeconds) {
+TEST(HostElections, KeepThreeSecondsBetweenOrdersOfTwoEntries) {
   int handovers = 0;
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     HostElectionSimulation simulation(seed);
     simulation.Run(300000);
     EXPECT_TRUE(simulation.shortest_gap() >= 3000,
                 "seed " + std::to_string(seed) +
-                    ": expected 3000 ms or more between two holders, got " +
+                    ": expected at least 3000 ms between orders of two holders, got " +
                     std::to_string(simulation.shortest_gap()));
     EXPECT_TRUE(!simulation.has_token_decreased(),
-                "a fencing token fell, seed " + std::to_string(seed));
+                "a fencing token decreased, seed " + std::to_string(seed));
     handovers += simulation.handovers();
   }
   EXPECT_TRUE(handovers > 100,
-              "holders change under such faults, got " + std::to_string(handovers));
+              "expected more than 100 changes of the holder, got " + std::to_string(handovers));
 }
 
 }  // namespace junctionrail
--- a/test/placement_test.cc
+++ b/test/placement_test.cc
@@ -1,4 +1,5 @@
-// What an engine is ordered to load and unload, without sockets.
+// Tests the orders to load and unload that an engine gets, and the messages between entries and
+// agents, without sockets.
 #include "junctionrail/placement.h"
 
 #include <nlohmann/json.hpp>
@@ -18,7 +19,7 @@
   return spec;
 }
 
-// An agent's core before an engine that does what it is told at once.
+// A PlacementCore and a fake engine that executes orders at once.
 struct Engine {
   Engine() {
     core.Reset("u1");
@@ -40,7 +41,7 @@
                   now);
   }
 
-  // What is ordered now, as "load a/x", or "nothing".
+  // Returns the next order, such as "load a/x", or "nothing".
   std::string NextOrder() {
     last_order = core.NextOrder(now);
     if (!last_order) return "nothing";
@@ -50,7 +51,7 @@
 
   void ReportResult(EngineOrderResult result) { core.OnOrderResult(*last_order, result, now); }
 
-  // The engine carries the last order out.
+  // Makes the engine execute the last order.
   void ExecuteOrder() {
     ++report.sequence;
     if (last_order->kind == OrderKind::kLoad) {
@@ -85,35 +86,36 @@
 
 TEST_GROUP(PlacementLoads){};
 
-TEST(PlacementLoads, WhatRequestsWaitForWhereThereIsRoom) {
+TEST(PlacementLoads, LoadsAwaitedModelIntoFreeMemory) {
   Engine engine;
   engine.AddLoaded("a");
   engine.SendReport();
   engine.SendDemand({MakeDemand("b", 1)});
-  EXPECT_TEXT("load b", engine.NextOrder(), "two models fit beside it");
+  EXPECT_TEXT("load b", engine.NextOrder(), "there is memory for two more models");
 }
 
-TEST(PlacementLoads, NothingBeforeTheEngineHasBeenAsked) {
+TEST(PlacementLoads, WaitsForFirstReport) {
   Engine engine;
   engine.SendDemand({MakeDemand("b", 1)});
-  EXPECT_TEXT("nothing", engine.NextOrder(), "what is loaded is not known");
+  EXPECT_TEXT("nothing", engine.NextOrder(), "the loaded models are unknown");
 }
 
-TEST(PlacementLoads, AModelManyWaitForBeforeOneThatAMoreUrgentRequestWaitsFor) {
-  // 25 requests a second waited for a busy model while
-  // three rare ones, one request each, were loaded before it.
+TEST(PlacementLoads, WeighsNumberOfRequestsAgainstPriority) {
+  // Guards against loading rare models, each for a single request of a higher priority, before a
+  // busy model that 25 requests per second wait for.
   Engine engine;
   engine.SendReport();
   engine.SendDemand({MakeDemand("a", 1, 0), MakeDemand("b", 30, 1)});
-  EXPECT_TEXT("load b", engine.NextOrder(), "thirty requests outweigh one of the class above");
+  EXPECT_TEXT("load b", engine.NextOrder(),
+              "thirty requests outweigh one of the next higher priority");
   engine.SendDemand({MakeDemand("a", 1, 0), MakeDemand("b", 3, 1)});
   EXPECT_TEXT("load a", engine.NextOrder(), "three do not");
 }
 
-TEST(PlacementLoads, FromTheWeightStoreOnlyWhenAnEntrySaysThatItHasRoom) {
-  // after engines had crashed, twenty loads from the
-  // store at once took 20 s each in place of 6 s, and kept their engines from
-  // every other order until then.
+TEST(PlacementLoads, WaitsForWeightStoreCapacity) {
+  // Guards against too many concurrent loads from the weight store, as after many engines
+  // crash: twenty at once took 20 s each instead of 6 s, and their engines could execute no
+  // other order meanwhile.
   Engine engine;
   engine.report.on_disk = {"a"};
   engine.AddLoaded("c");
@@ -121,23 +123,23 @@
   engine.AddLoaded("e");
   engine.SendReport();
   engine.SendDemand({MakeDemand("b", 1)}, {}, {}, false);
-  EXPECT_TEXT("nothing", engine.NextOrder(), "not even room is made yet");
+  EXPECT_TEXT("nothing", engine.NextOrder(), "no memory is freed yet either");
   engine.now += 300;
   EXPECT_TEXT("nothing", engine.NextOrder(), "");
   const auto want = engine.core.BuildView(engine.now).store_want;
-  EXPECT_TRUE(want && want->is_waited_for, "entries hear of it");
+  EXPECT_TRUE(want && want->is_waited_for, "the view reports the blocked load");
   EXPECT_NUMBER(300, want->age_ms, "");
   engine.SendDemand({MakeDemand("b", 1), MakeDemand("a", 1)}, {}, {}, false);
   EXPECT_TRUE(engine.NextOrder().substr(0, 7) == "unload ",
-              "a load from disk does not wait for it");
+              "a load from disk does not wait for the weight store");
   engine.SendDemand({MakeDemand("b", 1)}, {}, {}, true);
-  EXPECT_TRUE(engine.NextOrder().substr(0, 7) == "unload ", "now it makes room");
-  EXPECT_TRUE(!engine.core.BuildView(engine.now).store_want, "and asks no more");
+  EXPECT_TRUE(engine.NextOrder().substr(0, 7) == "unload ", "memory is freed now");
+  EXPECT_TRUE(!engine.core.BuildView(engine.now).store_want, "no load is blocked any more");
 }
 
-TEST(PlacementLoads, FromTheWeightStoreOnlyWhenMostEntriesSayThatItHasRoom) {
-  // Views reach entries at different moments: each may take another agent for the one
-  // whose turn it is.
+TEST(PlacementLoads, NeedsMajorityOfEntriesForWeightStoreLoad) {
+  // Views reach entries at different moments, so entries may disagree on which agent may load
+  // next.
   Engine engine;
   engine.report.on_disk.clear();
   engine.SendReport();
@@ -149,15 +151,15 @@
   say(1, true);
   say(2, false);
   say(3, false);
-  EXPECT_TEXT("nothing", engine.NextOrder(), "one of three");
+  EXPECT_TEXT("nothing", engine.NextOrder(), "one of three entries agrees");
   say(3, true);
-  EXPECT_TEXT("load a", engine.NextOrder(), "two of three");
+  EXPECT_TEXT("load a", engine.NextOrder(), "two of three entries agree");
 }
 
-TEST(PlacementLoads, AReplicaOfAnOverloadedModelFromTheStoreBeforeOneForARareRequest) {
-  // after all VMs had lost power a busy model's one engine
-  // queued its requests for 15 s, while the weight store's places went to rare
-  // models, one request each.
+TEST(PlacementLoads, WeighsStoreLoadsByRequestRate) {
+  // Guards against spending the weight store's capacity on rare models with one request each,
+  // as after a power loss of all VMs, while the only engine with a busy model queues its
+  // requests for 15 s.
   Engine engine;
   engine.report.on_disk = {};
   engine.SendReport();
@@ -171,21 +173,23 @@
   ModelDemand waiting = MakeDemand("b", 1, 0);
   waiting.per_s = 0.2;
   const double rare = weigh(waiting);
-  EXPECT_TRUE(weigh(replica) > rare, "twelve of the class below each second, against one in five");
+  EXPECT_TRUE(weigh(replica) > rare,
+              "12 requests per second of the next lower priority against one in 5 s");
   replica.replica_per_s = 1.2;
-  EXPECT_TRUE(weigh(replica) < rare, "at a tenth of them the rare one comes first");
+  EXPECT_TRUE(weigh(replica) < rare, "at a tenth of that rate the rare model comes first");
   waiting.waiting = 9;
-  EXPECT_TRUE(weigh(waiting) == rare, "those who wait now have left when the load is over");
+  EXPECT_TRUE(weigh(waiting) == rare, "callers waiting now will have left when the load ends");
   engine.report.on_disk = {"a", "b"};
   engine.SendReport();
   replica.replica_per_s = 12;
   engine.SendDemand({replica, MakeDemand("b", 1, 0)});
-  EXPECT_TEXT("load b", engine.NextOrder(), "from disk, requests that wait come first");
+  EXPECT_TEXT("load b", engine.NextOrder(), "for loads from disk, waiting requests come first");
 }
 
-TEST(PlacementLoads, ASpareCopyOfABusyModelIntoFreeMemoryOnly) {
-  // Engines were replaced one by one; the fresh ones took up rare models, six seconds each
-  // from the store, until no engine was left that held the busy ones.
+TEST(PlacementLoads, LoadsSpareCopyIntoFreeMemoryOnly) {
+  // Guards against losing all copies of a busy model while engines are replaced one by one: the
+  // new engines loaded rare models, at 6 s each from the weight store, until no engine with the
+  // busy models was left.
   Engine engine;
   engine.report.on_disk = {};
   engine.SendReport();
@@ -194,18 +198,18 @@
   ModelDemand rare = MakeDemand("b", 1);
   rare.per_s = 0.2;
   engine.SendDemand({spare, rare});
-  EXPECT_TEXT("load a", engine.NextOrder(), "three a second will look for it in vain");
+  EXPECT_TEXT("load a", engine.NextOrder(), "three requests per second will find no copy");
   spare.at_risk_per_s = 0.1;
   engine.SendDemand({spare, rare});
-  EXPECT_TEXT("load b", engine.NextOrder(), "a request that waits counts more than that");
+  EXPECT_TEXT("load b", engine.NextOrder(), "a waiting request counts more than 0.1 per second");
   for (const char* it : {"b", "c", "d"}) engine.AddLoaded(it);
   engine.SendReport();
   spare.at_risk_per_s = 30;
   engine.SendDemand({spare}, {MakeUse("b", 0, 0.5), MakeUse("c", 0, 0.5), MakeUse("d", 0, 0.5)});
-  EXPECT_TEXT("nothing", engine.NextOrder(), "nothing that is asked for makes room for it");
+  EXPECT_TEXT("nothing", engine.NextOrder(), "no model with demand is evicted for a spare copy");
 }
 
-TEST(PlacementLoads, WhatCanStillBeInTimeBeforeWhatIsLateInAnyCase) {
+TEST(PlacementLoads, PrefersRequestsThatCanStillBeOnTime) {
   Engine engine;
   engine.SendReport();
   ModelDemand late = MakeDemand("a", 2);
@@ -215,15 +219,16 @@
   ModelDemand relaxed = MakeDemand("c", 1);
   relaxed.left_ms = 9000;
   engine.SendDemand({late, urgent, relaxed});
-  EXPECT_TEXT("load b", engine.NextOrder(), "it is in time if it is next, and not after another");
+  EXPECT_TEXT("load b", engine.NextOrder(), "b is on time only if it is loaded next");
   urgent.left_ms = 300;
   engine.SendDemand({late, urgent, relaxed});
-  EXPECT_TEXT("load a", engine.NextOrder(), "b is late now too, and two wait for a");
+  EXPECT_TEXT("load a", engine.NextOrder(),
+              "b is late in any case now, and two requests wait for a");
 }
 
-TEST_GROUP(PlacementMakesRoom){};
+TEST_GROUP(PlacementEviction){};
 
-TEST(PlacementMakesRoom, ByTheModelLeastAskedFor) {
+TEST(PlacementEviction, EvictsModelWithLeastDemand) {
   Engine engine;
   engine.AddLoaded("a");
   engine.AddLoaded("b");
@@ -231,10 +236,10 @@
   engine.SendReport();
   engine.SendDemand({MakeDemand("d", 1)},
                     {MakeUse("a", 0, 0.3), MakeUse("b", 0, 0.1), MakeUse("c", 0, 0.2)});
-  EXPECT_TEXT("unload b", engine.NextOrder(), "it has the fewest requests a second");
+  EXPECT_TEXT("unload b", engine.NextOrder(), "b has the lowest request rate");
 }
 
-TEST(PlacementMakesRoom, NeverByAModelThatRequestsWaitFor) {
+TEST(PlacementEviction, KeepsModelWithWaitingRequests) {
   Engine engine;
   engine.AddLoaded("a", {});
   engine.AddLoaded("b");
@@ -242,28 +247,28 @@
   engine.SendReport();
   engine.SendDemand({MakeDemand("d", 1), MakeDemand("b", 1, 1, "x")},
                     {MakeUse("a", 0, 2.0), MakeUse("b", 0, 0.1), MakeUse("c", 0, 1.0)});
-  EXPECT_TEXT("load b/x", engine.NextOrder(), "the adapter comes first");
+  EXPECT_TEXT("load b/x", engine.NextOrder(), "adapters come first");
   engine.ReportResult(EngineOrderResult::kAlreadyHolds);
   engine.now += 1000;
   engine.SendDemand({MakeDemand("d", 1), MakeDemand("b", 1)},
                     {MakeUse("a", 0, 0.3), MakeUse("b", 0, 0.1), MakeUse("c", 0, 0.2)});
-  EXPECT_TEXT("unload c", engine.NextOrder(), "the least asked for of the others");
+  EXPECT_TEXT("unload c", engine.NextOrder(), "c has the least demand of the others");
 }
 
-TEST(PlacementMakesRoom, ByAModelInUseOnlyForARequestThatWaitedLong) {
+TEST(PlacementEviction, EvictsModelInUseOnlyAfterLongWait) {
   Engine engine;
   for (const char* it : {"a", "b", "c"}) engine.AddLoaded(it);
   engine.SendReport();
   const std::vector<ModelUse> use = {MakeUse("a", 5, 2), MakeUse("b", 1, 1), MakeUse("c", 9, 3)};
   engine.SendDemand({MakeDemand("d", 1, 0, "", 100)}, use);
-  EXPECT_TEXT("nothing", engine.NextOrder(), "all are in use");
+  EXPECT_TEXT("nothing", engine.NextOrder(), "all models are in use");
   engine.SendDemand({MakeDemand("d", 1, 0, "", 5000)}, use);
-  EXPECT_TEXT("unload b", engine.NextOrder(), "the one that interrupts the fewest requests");
+  EXPECT_TEXT("unload b", engine.NextOrder(), "evicting b interrupts the fewest requests");
 }
 
-TEST(PlacementMakesRoom, ByABusyModelOnlyWhenThoseWhoWaitLoseMoreThanItsCallersWould) {
-  // Without this the busiest models were closed eight to eleven times in half a
-  // minute for models with one request in three seconds.
+TEST(PlacementEviction, EvictsBusyModelOnlyIfWaitingCallersLoseMore) {
+  // Guards against thrashing: the busiest models were evicted 8 to 11 times in 30 s for models
+  // with one request in 3 s.
   Engine engine;
   for (const char* it : {"a", "b", "c"}) engine.AddLoaded(it);
   engine.SendReport();
@@ -274,17 +279,18 @@
   }
   engine.SendDemand({MakeDemand("d", 1, 0, "", 100)}, use);
   EXPECT_TEXT("nothing", engine.NextOrder(),
-              "ten callers a second would wait 1.1 s for c's return");
-  // 10 a second * (0.3^2 / 3 + (1.1^2 - 0.3^2) / 2) s + 1.1 s for the first = 7.0 s.
+              "ten callers per second would wait 1.1 s until c is reloaded");
+  // Eviction cost of c: 10 per second * (0.3^2 / 3 + (1.1^2 - 0.3^2) / 2) s + 1.1 s for the
+  // first caller = 7.0 s.
   engine.SendDemand({MakeDemand("d", 1, 0, "", 5800)}, use);
-  EXPECT_TEXT("nothing", engine.NextOrder(), "5.8 s and 1.1 s for the load are less than 7.0 s");
+  EXPECT_TEXT("nothing", engine.NextOrder(), "5.8 s plus 1.1 s for the load are less than 7.0 s");
   engine.SendDemand({MakeDemand("d", 1, 0, "", 6000)}, use);
-  EXPECT_TEXT("unload c", engine.NextOrder(), "6.0 s and 1.1 s are more");
+  EXPECT_TEXT("unload c", engine.NextOrder(), "6.0 s plus 1.1 s are more than 7.0 s");
   engine.SendDemand({MakeDemand("d", 4, 0, "", 700)}, use);
   EXPECT_TEXT("unload c", engine.NextOrder(), "four callers lose 7.2 s");
 }
 
-TEST(PlacementMakesRoom, SoonerByAModelWhoseCallersHaveTimeForItsReturn) {
+TEST(PlacementEviction, PrefersModelWithLaterTarget) {
   Engine engine;
   for (const char* it : {"a", "b", "c"}) engine.AddLoaded(it);
   engine.SendReport();
@@ -293,10 +299,10 @@
   use[2].target_ms = 5000;
   engine.SendDemand({MakeDemand("d", 1)}, use);
   EXPECT_TEXT("unload c", engine.NextOrder(),
-              "it is asked for most, but its callers can wait longest");
+              "c has the most demand, but its callers can wait longest");
 }
 
-TEST(PlacementMakesRoom, ForAReplicaWhoseAbsenceMakesCallersLate) {
+TEST(PlacementEviction, EvictsForReplicaIfCallersAreLate) {
   Engine engine;
   for (const char* it : {"a", "b", "c"}) engine.AddLoaded(it);
   engine.SendReport();
@@ -308,14 +314,15 @@
   ModelDemand replica = MakeDemand("d", 0, 0);
   replica.callers_late = 0.5;
   engine.SendDemand({replica}, use);
-  EXPECT_TEXT("nothing", engine.NextOrder(), "0.5 s of callers in a second, 1.9 s for those of a");
+  EXPECT_TEXT("nothing", engine.NextOrder(),
+              "the replica saves 0.5 s of waiting; evicting a costs 1.9 s");
   replica.callers_late = 4;
   engine.SendDemand({replica}, use);
-  EXPECT_TEXT("unload a", engine.NextOrder(), "four callers late at any moment");
+  EXPECT_TEXT("unload a", engine.NextOrder(), "four callers are late at any time");
 }
 
-TEST(PlacementMakesRoom, ForTheOneThatWasWeighedAgainstIt) {
-  // Room made by a busy model's replica went to whichever model came next.
+TEST(PlacementEviction, ReservesFreedMemoryForModelThatNeededIt) {
+  // Guards against giving the freed memory to whichever model comes next.
   Engine engine;
   for (const char* it : {"a", "b", "c"}) engine.AddLoaded(it);
   engine.SendReport();
@@ -323,20 +330,21 @@
   ModelDemand replica = MakeDemand("d", 0, 0);
   replica.callers_late = 9;
   engine.SendDemand({replica}, use);
-  EXPECT_TEXT("unload a", engine.NextOrder(), "the least asked for");
+  EXPECT_TEXT("unload a", engine.NextOrder(), "a has the least demand");
   engine.ReportResult(EngineOrderResult::kAccepted);
   engine.ExecuteOrder();
   engine.now += 100;
   engine.SendReport();
   engine.SendDemand({replica, MakeDemand("e", 40, 0)}, use);
-  EXPECT_TEXT("load d", engine.NextOrder(), "forty wait for e now, but room was made for d");
+  EXPECT_TEXT("load d", engine.NextOrder(),
+              "forty requests wait for e now, but the memory was freed for d");
 }
 
 TEST_GROUP(PlacementAdapters){};
 
-TEST(PlacementAdapters, TakeThePlaceOfOneThatNoRequestUses) {
-  // an adapter in use was to go. Its unload waited for
-  // requests that kept coming, and nothing was loaded for twelve seconds.
+TEST(PlacementAdapters, ReplaceUnusedAdapter) {
+  // Guards against unloading an adapter in use. The unload waited for its requests while new ones
+  // kept arriving, and nothing was loaded for 12 s.
   Engine engine;
   engine.AddLoaded("a", {"x", "y"});
   engine.SendReport();
@@ -349,8 +357,8 @@
   EXPECT_TEXT("nothing", engine.NextOrder(), "both are in use");
 }
 
-TEST(PlacementAdapters, AreNotOrderedWhileAModelIsUnderAnOrder) {
-  // Engines answer such orders with a conflict each time.
+TEST(PlacementAdapters, WaitWhileEngineIsBusy) {
+  // A busy engine refuses every order as a conflict.
   Engine engine;
   engine.AddLoaded("a");
   engine.report.is_busy = true;
@@ -359,33 +367,33 @@
   EXPECT_TEXT("nothing", engine.NextOrder(), "the engine is busy");
 }
 
-TEST(PlacementAdapters, LeaveTheViewAsSoonAsTheyAreToGo) {
+TEST(PlacementAdapters, LeaveViewWhenUnloadIsAccepted) {
   Engine engine;
   engine.AddLoaded("a", {"x", "y"});
   engine.SendReport();
   engine.SendDemand({MakeDemand("a", 1, 1, "z")});
-  EXPECT_TEXT("unload a/x", engine.NextOrder(), "a place is needed");
+  EXPECT_TEXT("unload a/x", engine.NextOrder(), "an adapter slot is needed");
   engine.ReportResult(EngineOrderResult::kAccepted);
   EXPECT_NUMBER(1, engine.core.BuildView(engine.now).loaded.at(0).adapters.size(),
-                "entries must not send requests for it any more");
+                "entries must stop sending requests for x");
 }
 
 TEST_GROUP(PlacementOrders){};
 
-TEST(PlacementOrders, WaitForTheReportThatShowsTheirEffect) {
+TEST(PlacementOrders, AreNotRepeatedBeforeNextReport) {
   Engine engine;
   engine.SendReport();
   engine.SendDemand({MakeDemand("a", 1)});
   EXPECT_TEXT("load a", engine.NextOrder(), "");
   engine.ReportResult(EngineOrderResult::kAccepted);
-  EXPECT_TEXT("nothing", engine.NextOrder(), "its effect is not reported yet");
+  EXPECT_TEXT("nothing", engine.NextOrder(), "no report shows the effect yet");
   engine.ExecuteOrder();
   engine.SendReport();
-  EXPECT_TEXT("nothing", engine.NextOrder(), "it is loaded");
+  EXPECT_TEXT("nothing", engine.NextOrder(), "a is loaded");
 }
 
-TEST(PlacementOrders, WithoutAnAnswerAreGivenAgainUnderTheSameSequence) {
-  // Of two orders that expect the same sequence an engine takes only one.
+TEST(PlacementOrders, AreRetriedWithSameSequenceIfUnanswered) {
+  // An engine accepts only one of two orders that expect the same sequence number.
   Engine engine;
   engine.SendReport();
   engine.SendDemand({MakeDemand("a", 1)});
@@ -395,31 +403,34 @@
   EXPECT_TEXT("nothing", engine.NextOrder(), "the answer may still come");
   engine.now += 500;
   engine.SendDemand({MakeDemand("a", 1)});
-  EXPECT_TEXT("load a", engine.NextOrder(), "it did not");
-  EXPECT_NUMBER(sequence, engine.last_order->expected_sequence, "only one of the two can be taken");
+  EXPECT_TEXT("load a", engine.NextOrder(), "no answer has come");
+  EXPECT_NUMBER(sequence, engine.last_order->expected_sequence,
+                "the engine can accept only one of the two");
 }
 
-TEST(PlacementOrders, ForgetWhatAnEarlierInstanceHeld) {
+TEST(PlacementOrders, IgnoreStateOfEarlierInstance) {
   Engine engine;
   engine.AddLoaded("a");
   engine.SendReport();
   engine.core.Reset("u2");
-  EXPECT_NUMBER(0, engine.core.BuildView(engine.now).loaded.size(), "the new one starts empty");
+  EXPECT_NUMBER(0, engine.core.BuildView(engine.now).loaded.size(),
+                "the new instance has no models");
   engine.SendDemand({MakeDemand("a", 1)});
-  EXPECT_TEXT("nothing", engine.NextOrder(), "a demand meant for the instance before");
+  EXPECT_TEXT("nothing", engine.NextOrder(), "the demand is for the previous instance");
 }
 
-TEST(PlacementOrders, NeverExceedTheAcceleratorsMemory) {
+TEST(PlacementOrders, NeverExceedAcceleratorMemory) {
   Engine engine;
   for (const char* it : {"a", "b", "c"}) engine.AddLoaded(it);
   engine.SendReport();
   engine.SendDemand({MakeDemand("d", 1)}, {MakeUse("a", 0), MakeUse("b", 0), MakeUse("c", 0)});
-  EXPECT_TRUE(engine.NextOrder().rfind("unload", 0) == 0, "216 of 230 are taken, 72 are needed");
+  EXPECT_TRUE(engine.NextOrder().rfind("unload", 0) == 0,
+              "216 of 230 MB are used, 72 MB are needed");
 }
 
-TEST_GROUP(PlacementStages){};
+TEST_GROUP(PlacementStaging){};
 
-TEST(PlacementStages, OnlyWhenNobodyWaitsAndOnlyWhatIsNotOnDisk) {
+TEST(PlacementStaging, StagesMissingModelsWhenNoRequestWaits) {
   Engine engine;
   engine.report.on_disk = {"a"};
   engine.SendReport();
@@ -431,21 +442,22 @@
 
 TEST_GROUP(PlacementViews){};
 
-TEST(PlacementViews, TellHowOftenAFurtherModelIsWaitedFor) {
+TEST(PlacementViews, ReportRateOfNewlyAwaitedModels) {
   Engine engine;
   engine.SendReport();
   for (int n = 0; n < 40; ++n) {
-    // Each half second requests begin to wait for another model.
+    // Requests begin to wait for another model every 500 ms.
     engine.SendDemand({MakeDemand(n % 2 == 0 ? "a" : "b", 1)});
     engine.now += 250;
     engine.SendDemand({MakeDemand(n % 2 == 0 ? "a" : "b", 3)});
     engine.now += 250;
   }
   const double per_s = engine.core.BuildView(engine.now).wants_per_s;
-  EXPECT_TRUE(per_s > 1.5 && per_s < 2.2, "two a second, got " + std::to_string(per_s));
+  EXPECT_TRUE(per_s > 1.5 && per_s < 2.2,
+              "expected about 2 per second, got " + std::to_string(per_s));
 }
 
-TEST(PlacementViews, TellWhatTheClosingOfEachModelWouldCost) {
+TEST(PlacementViews, ReportEvictionCostPerModel) {
   Engine engine;
   engine.AddLoaded("a");
   engine.AddLoaded("b");
@@ -458,7 +470,7 @@
               "got " + std::to_string(cost.at("a")) + " and " + std::to_string(cost.at("b")));
 }
 
-TEST(PlacementViews, ConcernAtOnceWhoWaitsAndWhoUsedWhatIsGone) {
+TEST(PlacementViews, AffectWaitingEntriesAndRecentUsersOfRemovedModel) {
   Engine engine;
   engine.AddLoaded("a");
   engine.SendReport();
@@ -477,26 +489,26 @@
   ask(4, {}, {long_ago});
   EXPECT_TRUE(engine.core.IsAffected(1, {}), "an entry whose request waits");
   EXPECT_TRUE(engine.core.IsAffected(2, {"a"}), "an entry that has just sent one for it");
-  EXPECT_TRUE(!engine.core.IsAffected(2, {"b"}), "another model is gone");
+  EXPECT_TRUE(!engine.core.IsAffected(2, {"b"}), "another model was removed");
   EXPECT_TRUE(!engine.core.IsAffected(3, {"a"}), "an entry that never had a request for it");
-  EXPECT_TRUE(!engine.core.IsAffected(4, {"a"}), "an entry that had one a minute ago");
-  EXPECT_TRUE(!engine.core.IsAffected(5, {"a"}), "an entry that has said nothing");
+  EXPECT_TRUE(!engine.core.IsAffected(4, {"a"}), "an entry whose last request was a minute ago");
+  EXPECT_TRUE(!engine.core.IsAffected(5, {"a"}), "an entry that has sent no demand");
 }
 
-TEST(PlacementViews, NameTheModelsThatAreGoneAndThoseThatLostAnAdapter) {
+TEST(PlacementViews, ListRemovedModelsAndThoseThatLostAdapter) {
   EngineView before;
   before.loaded = {{"a", {}}, {"b", {"x", "y"}}, {"c", {"z"}}};
   EngineView after;
   after.loaded = {{"b", {"y"}}, {"c", {"z", "w"}}, {"d", {}}};
   const auto gone = RemovedModels(before, after);
-  EXPECT_NUMBER(2, gone.size(), "a as a whole, and b's x");
+  EXPECT_NUMBER(2, gone.size(), "a, and b for its adapter x");
   EXPECT_TEXT("a", gone.at(0), "");
   EXPECT_TEXT("b", gone.at(1), "");
 }
 
 TEST_GROUP(PlacementMessages){};
 
-TEST(PlacementMessages, BringAViewUpToDateByWhatHasChanged) {
+TEST(PlacementMessages, UpdateViewWithChangedPartsOnly) {
   EngineView view;
   view.instance = "u1";
   view.loaded = {{"a", {"x"}}, {"b", {}}};
@@ -506,7 +518,7 @@
   for (int n = 0; n < 18; ++n) view.at_hand.push_back("model-number-" + std::to_string(n));
   const std::string whole = EncodeView(view);
   EngineView read;
-  EXPECT_TRUE(DecodeView(whole, &read), "the first on a link is whole");
+  EXPECT_TRUE(DecodeView(whole, &read), "the first view on a link is a full one");
 
   EngineView next = view;
   next.running = 7;
@@ -517,11 +529,12 @@
   EXPECT_TRUE(update.size() * 3 < whole.size(), "expected less than a third of " +
                                                     std::to_string(whole.size()) + " bytes, got " +
                                                     std::to_string(update.size()));
-  EXPECT_TRUE(DecodeView(update, &read), "it decodes");
+  EXPECT_TRUE(DecodeView(update, &read), "the update decodes");
   EXPECT_NUMBER(7, read.running, "");
-  EXPECT_TRUE(read.per_s.at("b") == 2.5 && read.closing_ms.at("a") == 250, "by model again");
-  EXPECT_NUMBER(18, read.at_hand.size(), "what is not said is as before");
-  EXPECT_TRUE(!read.store_want, "a want that is over is gone");
+  EXPECT_TRUE(read.per_s.at("b") == 2.5 && read.closing_ms.at("a") == 250,
+              "lists are mapped back to models");
+  EXPECT_NUMBER(18, read.at_hand.size(), "parts that are not sent stay unchanged");
+  EXPECT_TRUE(!read.store_want, "the blocked load has ended");
 
   EngineView later = next;
   later.loaded = {{"b", {}}};
@@ -535,21 +548,20 @@
   EXPECT_NUMBER(1, read.at_hand.size(), "");
 }
 
-TEST(PlacementMessages, ThatUpdateAViewNobodySentAreRefused) {
+TEST(PlacementMessages, RejectUpdateWithoutMatchingView) {
   EngineView view;
   view.instance = "u1";
   EngineView read;
-  EXPECT_TRUE(!DecodeView(EncodeViewUpdate(view, {}), &read),
-              "there is nothing to bring up to date");
+  EXPECT_TRUE(!DecodeView(EncodeViewUpdate(view, {}), &read), "there is no view to update");
   EngineView with_model = view;
   with_model.loaded = {{"a", {}}};
   with_model.per_s = {{"a", 1}};
   EXPECT_TRUE(DecodeView(EncodeView(with_model), &read), "");
   EXPECT_TRUE(!DecodeView(EncodeViewUpdate(view, {}), &read),
-              "rates of fewer models than are loaded");
+              "the update has rates for fewer models than the view");
 }
 
-TEST(PlacementMessages, SurviveTheirEncoding) {
+TEST(PlacementMessages, RoundTrip) {
   EngineView view;
   view.instance = "u1";
   view.loaded = {{"a", {"x"}}};
@@ -564,7 +576,7 @@
   view.closing_ms = {{"a", 250}};
   view.wants_per_s = 1.25;
   EngineView read;
-  EXPECT_TRUE(DecodeView(EncodeView(view), &read), "it decodes");
+  EXPECT_TRUE(DecodeView(EncodeView(view), &read), "the view decodes");
   EXPECT_TEXT("x", read.loaded.at(0).adapters.at(0), "");
   EXPECT_TEXT("b", read.loading, "");
   EXPECT_NUMBER(700, read.remaining_ms, "");
@@ -585,7 +597,7 @@
   demand.repeat_ms = 1800;
   demand.takes_updates = true;
   AgentDemand read_demand;
-  EXPECT_TRUE(DecodeDemand(EncodeDemand(demand), &read_demand), "it decodes");
+  EXPECT_TRUE(DecodeDemand(EncodeDemand(demand), &read_demand), "the demand decodes");
   EXPECT_TEXT("a/x", read_demand.wanted.at(0).ref.ToString(), "");
   EXPECT_TEXT("x", read_demand.use.at(0).adapters_in_use.at(0), "");
   EXPECT_NUMBER(300, read_demand.use.at(0).target_ms, "");
@@ -599,8 +611,8 @@
   EXPECT_TRUE(read_demand.takes_updates, "");
 }
 
-TEST(PlacementMessages, OfAVersionWithFewerFieldsAreReadWithDefaults) {
-  // While a fleet is replaced, processes of two versions speak with each other.
+TEST(PlacementMessages, FillMissingFieldsWithDefaults) {
+  // Processes of two versions exchange messages during an upgrade of the fleet.
   using nlohmann::json;
   const json old = {{"n", "e"},
                     {"i", "u1"},
@@ -610,16 +622,16 @@
   std::string bytes;
   json::to_cbor(old, bytes);
   AgentDemand demand;
-  EXPECT_TRUE(DecodeDemand(bytes, &demand), "a demand of five values a model");
+  EXPECT_TRUE(DecodeDemand(bytes, &demand), "five values per model are enough");
   EXPECT_NUMBER(2, demand.wanted.at(0).waiting, "");
   EXPECT_TRUE(demand.wanted.at(0).replica_per_s == 0, "");
   EXPECT_NUMBER(0, demand.use.at(0).target_ms, "");
-  EXPECT_TRUE(demand.may_load_from_store, "the sender sets no bound");
-  EXPECT_NUMBER(1000, demand.repeat_ms, "the sender repeats each second");
-  EXPECT_TRUE(!demand.takes_updates, "the sender reads whole views only");
+  EXPECT_TRUE(demand.may_load_from_store, "the sender does not limit loads from the store");
+  EXPECT_NUMBER(1000, demand.repeat_ms, "the sender repeats its demand every second");
+  EXPECT_TRUE(!demand.takes_updates, "the sender accepts full views only");
 }
 
-TEST(PlacementMessages, OfAVersionWithMoreFieldsAreReadWithoutThem) {
+TEST(PlacementMessages, IgnoreUnknownFields) {
   using nlohmann::json;
   AgentDemand demand{"e", "u1", {MakeDemand("a", 2, 0, "x", 9)}, {MakeUse("a", 1, 0.5, 2)},
                      {},  true};
@@ -630,11 +642,11 @@
   std::string bytes;
   json::to_cbor(newer, bytes);
   AgentDemand read;
-  EXPECT_TRUE(DecodeDemand(bytes, &read), "what is not known is passed over");
+  EXPECT_TRUE(DecodeDemand(bytes, &read), "unknown fields are ignored");
   EXPECT_NUMBER(2, read.wanted.at(0).waiting, "");
 }
 
-TEST(PlacementMessages, ThatAreDamagedAreRefusedWhole) {
+TEST(PlacementMessages, RejectTruncatedData) {
   const std::string bytes = EncodeView(EngineView());
   EngineView view;
   for (std::size_t n = 0; n < bytes.size(); ++n) {
@@ -642,7 +654,7 @@
                 "cut after " + std::to_string(n) + " bytes");
   }
   AgentDemand demand;
-  EXPECT_TRUE(!DecodeDemand(EncodeView(EngineView()), &demand), "a message of another kind");
+  EXPECT_TRUE(!DecodeDemand(EncodeView(EngineView()), &demand), "a view is not a demand");
 }
 
 }  // namespace junctionrail
--- a/test/random_placement_test.cc
+++ b/test/random_placement_test.cc
@@ -1,6 +1,6 @@
-// An agent's decisions before an engine whose orders are lost, late or refused,
-// in random worlds: whatever happens, the engine is never told to hold more
-// than it can, and it serves again once the trouble is over.
+// Randomised test of an agent's decisions while orders are lost, delayed or refused and the
+// engine or the agent restarts. The engine must never be ordered to hold more than fits, and
+// must load what is needed once the faults end.
 #include <algorithm>
 #include <deque>
 #include <optional>
@@ -20,7 +20,7 @@
 
 std::string ModelName(int n) { return std::string(1, static_cast<char>('a' + n)); }
 
-// The engine as the platform's pages describe it.
+// An engine as the platform's documentation describes it.
 class FakeEngine {
  public:
   struct DelayedOrder {
@@ -38,7 +38,8 @@
     return spec;
   }
 
-  // Takes an order, now or late. Breaches of the engine's room throw.
+  // Executes an order that arrives now. Throws if the engine's memory or adapter slots do not
+  // suffice.
   EngineOrderResult Execute(const EngineOrder& order, TimeMs now) {
     if (order.expected_sequence != sequence || busy_until > now)
       return EngineOrderResult::kConflict;
@@ -98,7 +99,8 @@
 
   void Load(const ModelRef& target, TimeMs now) {
     if (target.adapter.empty()) {
-      Require(UsedMb() + 72 <= kAcceleratorMb, "the engine falls: no room for the model");
+      Require(UsedMb() + 72 <= kAcceleratorMb,
+              "the engine crashes: not enough memory for the model");
       loading_model = target.model;
       busy_until = now + 120;
       on_disk.push_back(target.model);
@@ -106,8 +108,10 @@
     }
     for (auto& it : loaded) {
       if (it.name != target.model) continue;
-      Require(UsedAdapterSlots() < kAdapterSlots, "the engine falls: no place for the adapter");
-      Require(UsedMb() + 1 <= kAcceleratorMb, "the engine falls: no room for the adapter");
+      Require(UsedAdapterSlots() < kAdapterSlots,
+              "the engine crashes: no free slot for the adapter");
+      Require(UsedMb() + 1 <= kAcceleratorMb,
+              "the engine crashes: not enough memory for the adapter");
       it.adapters.push_back(target.adapter);
     }
   }
@@ -136,7 +140,7 @@
     engine_.DeliverDelayedOrders(now_);
     const std::uint32_t event = word.Take(100);
     if (event < 3) RestartEngine();
-    if (event >= 3 && event < 6) Reset(core_.instance());  // The agent's own process.
+    if (event >= 3 && event < 6) Reset(core_.instance());  // The agent's process restarts.
     if (event >= 6 && event < 40) SendDemand(&word);
     if (event >= 40 && event < 45) core_.OnEntryDisconnected(1);
     if (word.Take(10) < 8) core_.OnReport(engine_.Report(now_), now_);
@@ -145,7 +149,7 @@
     core_.BuildView(now_);
   }
 
-  // With no more trouble, what is wanted is loaded within seconds.
+  // Without further faults, the wanted adapter must be loaded within 16 s.
   void Drain() {
     const ModelRef wanted{ModelName(0), "x0"};
     for (int n = 0; n < 400; ++n) {
@@ -163,7 +167,7 @@
         if (it.name == wanted.model && has_adapter) return;
       }
     }
-    throw Breach("what is wanted was not loaded in 16 s without trouble");
+    throw Breach("the wanted adapter was not loaded within 16 s without faults");
   }
 
  private:
@@ -176,7 +180,7 @@
   void RestartEngine() {
     engine_.Restart();
     core_.Reset("u" + std::to_string(++restarts_));
-    // Orders meant for the instance before are refused by name.
+    // The new instance refuses orders that name the previous one.
     engine_.delayed_orders.clear();
   }
 
@@ -203,16 +207,16 @@
   void GiveOrder(const EngineOrder& order, Word* word) {
     const int outcome = static_cast<int>(word->Take(10));
     if (outcome < 6) return core_.OnOrderResult(order, engine_.Execute(order, now_), now_);
-    if (outcome == 6)
-      return core_.OnOrderResult(order, EngineOrderResult::kRejected, now_);  // Never sent.
-    if (outcome == 7) engine_.Execute(order, now_);  // Taken; its answer is lost.
+    // The order was not sent.
+    if (outcome == 6) return core_.OnOrderResult(order, EngineOrderResult::kRejected, now_);
+    if (outcome == 7) engine_.Execute(order, now_);  // Executed, but the answer is lost.
     if (outcome == 9) {
       const TimeMs delay = 200 + static_cast<int>(word->Take(8800));
       engine_.delayed_orders.push_back({order, now_ + delay});
       std::sort(engine_.delayed_orders.begin(), engine_.delayed_orders.end(),
                 [](const auto& a, const auto& b) { return a.arrives_at < b.arrives_at; });
     }
-    // Else it was lost on its way and never lands.
+    // Otherwise the order is lost and never arrives.
     core_.OnOrderResult(order, EngineOrderResult::kUnknown, now_);
   }
 
@@ -226,9 +230,9 @@
 
 TEST_GROUP(RandomPlacement){};
 
-TEST(RandomPlacement, NeverOverfillsAnEngineAndServesAgainAfterTrouble) {
+TEST(RandomPlacement, NeverOverfillsEngineAndRecoversFromFaults) {
   EXPECT_TRUE(RunAtRandom<PlacementSimulation>("placement"),
-              "RapidCheck printed the shortest run that breaks");
+              "RapidCheck printed the shortest failing run");
 }
 
 }  // namespace junctionrail::test
--- a/test/support/fleet_simulation.cc
+++ b/test/support/fleet_simulation.cc
@@ -8,9 +8,9 @@
 
 constexpr DurationMs kStepMs = 10;
 constexpr char kService[] = "engine";
-// From a request's start at an engine to its first event, alone.
+// From a request's start at an engine to its first event, as if it ran alone.
 constexpr DurationMs kFirstEventMs = 60;
-// As the daemons have them.
+// Intervals as in the daemons.
 constexpr DurationMs kDemandMs = 250;
 constexpr DurationMs kRepeatViewMs = 500;
 constexpr DurationMs kActiveReportMs = 50;
@@ -37,8 +37,8 @@
   for (const auto& it : fleet_.loads) outcomes_[it.name] = {};
   engines_.resize(static_cast<std::size_t>(fleet_.engines));
   for (int n = 0; n < fleet_.engines; ++n) ReplaceEngine(n);
-  // Each model is loaded on an engine as far as there is room, busy ones on several;
-  // the others are on the disk of one.
+  // Models are loaded on the engines as far as they fit, busy ones on several engines. The others
+  // are placed on disks below.
   std::vector<int> first;
   for (int n = 0; n < fleet_.busy_models * fleet_.busy_replicas; ++n) {
     first.push_back(n % fleet_.busy_models);
@@ -54,7 +54,7 @@
       PutOnDisk(engine, ModelName(model));
     }
   }
-  // Copies of a model are spread over the engines.
+  // Spread the copies of a model over the engines.
   for (int copy = 0; copy < fleet_.disk_copies; ++copy) {
     for (int n = copy == 0 ? next : 0; n < fleet_.models; ++n) {
       PutOnDisk(engines_[static_cast<std::size_t>((n + copy * 53) % fleet_.engines)], ModelName(n));
@@ -150,7 +150,8 @@
   }
 }
 
-// As Exchange does: sent, kept waiting, or refused when the wait is too long.
+// Like Exchange in the gateway: sends the request, parks it, or refuses it if the wait would be too
+// long.
 void FleetSimulation::Dispatch(Request request, bool is_new) {
   Entry& entry = entries_[static_cast<std::size_t>(request.entry)];
   PickRequest pick;
@@ -299,7 +300,7 @@
   engine.is_from_store = false;
 }
 
-// The one unused for longest gives way.
+// Evicts the model that was put on the disk longest ago if the disk is full.
 void FleetSimulation::PutOnDisk(Engine& engine, const std::string& model) {
   auto& disk = engine.report.on_disk;
   disk.erase(std::remove(disk.begin(), disk.end(), model), disk.end());
--- a/test/support/fleet_simulation.h
+++ b/test/support/fleet_simulation.h
@@ -1,6 +1,6 @@
-// Entries, agents and engines of a whole fleet in model time, without sockets: the
-// decisions are the product's, engines and callers are small models of them. Shows
-// who waits, who is refused and where work goes under a load.
+// Simulates the entries, agents and engines of a fleet in virtual time, without sockets. Entries
+// and agents use the production decision code; engines and callers are simple models. Counts
+// the outcomes of requests under load.
 #ifndef JUNCTIONRAIL_TEST_SUPPORT_FLEET_SIMULATION_H_
 #define JUNCTIONRAIL_TEST_SUPPORT_FLEET_SIMULATION_H_
 
@@ -18,15 +18,15 @@
 
 namespace junctionrail::testing {
 
-// Requests that come at random for models drawn alike from a range.
+// Requests that arrive at random for models drawn uniformly from a range.
 struct Workload {
   std::string name;
   double per_s = 0;
   int first_model = 0;
-  int last_model = 0;          // Not in it.
-  DurationMs target_ms = 0;    // For the first event.
-  DurationMs patience_ms = 0;  // Callers leave after so much silence.
-  DurationMs service_ms = 0;   // From the start at the engine to the last event.
+  int last_model = 0;          // One past the last model.
+  DurationMs target_ms = 0;    // For the first event of the answer.
+  DurationMs patience_ms = 0;  // Callers cancel after this long without an event.
+  DurationMs service_ms = 0;   // From the start at the engine to the last event of the answer.
   int priority = 0;
 };
 
@@ -34,14 +34,14 @@
   int engines = 12;
   int entries = 4;
   int models = 24;
-  int slots = 16;          // Requests that an engine runs at once.
-  int model_capacity = 3;  // Models that an engine has room for.
-  int disk_capacity = 18;  // Models that an engine's disk holds.
+  int slots = 16;          // Requests that an engine runs concurrently.
+  int model_capacity = 3;  // Models that fit into an engine's memory.
+  int disk_capacity = 18;  // Models that fit on an engine's disk.
   DurationMs disk_load_ms = 640;
   DurationMs store_load_ms = 13200;
-  int store_loads = 2;  // That the weight store serves at full speed at once.
-  int disk_copies = 1;  // Engines that have each model on disk at the start.
-  int busy_models = 0;  // The first of them, which stand on several engines at the start.
+  int store_loads = 2;  // Concurrent loads that the weight store serves at full speed.
+  int disk_copies = 1;  // Copies of each model on the engines' disks at the start.
+  int busy_models = 0;  // The first models, which start on `busy_replicas` engines each.
   int busy_replicas = 1;
   std::vector<Workload> loads;
   PolicySettings policy;
@@ -52,10 +52,10 @@
   int requests = 0;
   int on_time = 0;
   int late = 0;
-  int refused = 0;    // Told at once, or while they waited.
-  int abandoned = 0;  // Their callers left first.
+  int refused = 0;    // Refused at once or while waiting.
+  int abandoned = 0;  // Canceled by the caller, or lost with an engine.
 
-  // Of all requests, those in target, in percent.
+  // Returns the percentage of requests that were on time.
   int OnTimePercent() const { return requests == 0 ? 0 : on_time * 100 / requests; }
 };
 
@@ -63,17 +63,17 @@
  public:
   explicit FleetSimulation(FleetConfig fleet);
 
-  // Goes on for so long.
+  // Simulates the next `ms` milliseconds.
   void Run(DurationMs ms);
-  // The engine ends at once; another one in its place has an empty disk.
+  // Replaces an engine at once by a new one with an empty disk.
   void ReplaceEngine(int engine);
-  // Another engine with an empty disk begins beside the present ones.
+  // Adds an engine with an empty disk.
   void AddEngine();
-  // The engine says that it leaves; entries know at once. It serves what it has.
+  // Makes an engine leave. Entries learn of it at once; the engine serves the requests it has.
   void MarkLeaving(int engine);
 
   const WorkloadOutcome& Outcome(const std::string& load) const { return outcomes_.at(load); }
-  // Since the start.
+  // Counts since the start.
   int loads_from_disk() const { return loads_from_disk_; }
   int loads_from_store() const { return loads_from_store_; }
   int unloads() const { return unloads_; }
@@ -87,7 +87,7 @@
     TimeMs arrived_at = 0;
     TimeMs parked_at = 0;
     TimeMs sent_at = 0;
-    TimeMs ends_at = 0;  // 0: waits in the engine's queue.
+    TimeMs ends_at = 0;  // 0 while in the engine's queue.
     int entry = 0;
     std::string asked;
   };
@@ -98,7 +98,7 @@
     EngineReport report;
     std::string loading;
     bool is_from_store = false;
-    double left_ms = 0;  // Of the load, at full speed.
+    double left_ms = 0;  // Remaining time of the load at full speed.
     std::string unloading;
     std::list<Request> running;
     std::deque<Request> queue;
@@ -115,7 +115,7 @@
   };
 
   void AddArrivals();
-  // False when it neither waits nor is sent.
+  // Sends a request, parks it, or refuses it.
   void Dispatch(Request request, bool is_new);
   void Send(const std::string& instance, Request request);
   void RecordOutcome(const Request& request, int WorkloadOutcome::*what);
