--- a/include/junctionrail/placement.h
+++ b/include/junctionrail/placement.h
@@ -22,7 +22,7 @@
   std::vector<LoadedModel> loaded;
   std::vector<std::string> in_memory;      // Models whose weights are in host memory.
   std::vector<std::string> on_disk;        // Models whose weights are on the local disk.
-  std::vector<ModelRef> loading_adapters;  // Adapters under load.
+  std::vector<ModelRef> loading_adapters;  // Adapters being loaded.
   bool is_busy = false;                    // The engine is executing an order on a model.
   std::int64_t sequence = 0;               // Number of orders accepted since the engine started.
   std::int64_t started_unix_ms = 0;        // Start of the engine, Unix time; 0 if not reported.
@@ -186,13 +186,15 @@
 
 // Intervals of the election; host_election.cc gives the reasons for the values.
 struct HostElectionTiming {
-  DurationMs refused_before_claim_ms =
-      6000;                             // How long connections must be refused before a claim.
-  DurationMs claim_jitter_ms = 20000;   // Each entry adds its own delay of up to this to a claim.
-  DurationMs takeover_delay_ms = 3500;  // Delay from a claim to the first order.
-  DurationMs probe_interval_ms = 2500;  // Between probes of an unclaimed engine's agent port.
-  DurationMs hosted_probe_interval_ms =
-      1000;  // Between probes for an engine that this entry hosts.
+  // How long connections to the agent must be refused before a claim.
+  DurationMs refused_before_claim_ms = 6000;
+  // Each entry adds its own delay of up to this to a claim.
+  DurationMs claim_jitter_ms = 20000;
+  // Delay from a claim to the first order.
+  DurationMs takeover_delay_ms = 3500;
+  // Between probes of the agent's port: for an unclaimed engine, and for a hosted one.
+  DurationMs probe_interval_ms = 2500;
+  DurationMs hosted_probe_interval_ms = 1000;
 };
 
 // Decides which engines without an agent this entry hosts, that is, gives orders to.
