--- a/test/random_placement_test.cc
+++ b/test/random_placement_test.cc
@@ -135,17 +135,17 @@
  public:
   explicit PlacementSimulation(std::uint32_t) { Reset("u0"); }
 
-  void Step(RandomChoices word) {
+  void Step(RandomChoices choices) {
     now_ += kStepMs;
     engine_.DeliverDelayedOrders(now_);
-    const std::uint32_t event = word.Next(100);
+    const std::uint32_t event = choices.Next(100);
     if (event < 3) RestartEngine();
     if (event >= 3 && event < 6) Reset(core_.instance());  // The agent's process restarts.
-    if (event >= 6 && event < 40) SendDemand(&word);
+    if (event >= 6 && event < 40) SendDemand(&choices);
     if (event >= 40 && event < 45) core_.OnEntryDisconnected(1);
-    if (word.Next(10) < 8) core_.OnReport(engine_.Report(now_), now_);
+    if (choices.Next(10) < 8) core_.OnReport(engine_.Report(now_), now_);
     const auto order = core_.NextOrder(now_);
-    if (order) GiveOrder(*order, &word);
+    if (order) GiveOrder(*order, &choices);
     core_.BuildView(now_);
   }
 
@@ -184,34 +184,34 @@
     engine_.delayed_orders.clear();
   }
 
-  void SendDemand(RandomChoices* word) {
+  void SendDemand(RandomChoices* choices) {
     AgentDemand demand{"e", core_.instance(), {}, {}, {}};
-    const int n = static_cast<int>(word->Next(4));
+    const int n = static_cast<int>(choices->Next(4));
     for (int i = 0; i < n; ++i) {
-      const std::string model = ModelName(static_cast<int>(word->Next(kModels)));
-      const int adapter = static_cast<int>(word->Next(kAdapters + 2));
+      const std::string model = ModelName(static_cast<int>(choices->Next(kModels)));
+      const int adapter = static_cast<int>(choices->Next(kAdapters + 2));
       const ModelRef ref{model, adapter < kAdapters ? "x" + std::to_string(adapter) : ""};
-      demand.wanted.push_back({ref, static_cast<int>(word->Next(3)),
-                               static_cast<int>(word->Next(3)),
-                               static_cast<int>(word->Next(4000))});
+      demand.wanted.push_back({ref, static_cast<int>(choices->Next(3)),
+                               static_cast<int>(choices->Next(3)),
+                               static_cast<int>(choices->Next(4000))});
     }
     for (int i = 0; i < kModels; ++i) {
-      if (static_cast<int>(word->Next(2)) == 0) continue;
-      demand.use.push_back({ModelName(i), static_cast<int>(word->Next(2)), 0.5, 1, 100, {}});
+      if (static_cast<int>(choices->Next(2)) == 0) continue;
+      demand.use.push_back({ModelName(i), static_cast<int>(choices->Next(2)), 0.5, 1, 100, {}});
     }
-    if (static_cast<int>(word->Next(2)) == 0) demand.stage.push_back(ModelName(kModels - 1));
-    demand.may_load_from_store = word->Next(4) != 0;
-    core_.OnDemand(1 + word->Next(3), demand, now_);
+    if (static_cast<int>(choices->Next(2)) == 0) demand.stage.push_back(ModelName(kModels - 1));
+    demand.may_load_from_store = choices->Next(4) != 0;
+    core_.OnDemand(1 + choices->Next(3), demand, now_);
   }
 
-  void GiveOrder(const EngineOrder& order, RandomChoices* word) {
-    const int outcome = static_cast<int>(word->Next(10));
+  void GiveOrder(const EngineOrder& order, RandomChoices* choices) {
+    const int outcome = static_cast<int>(choices->Next(10));
     if (outcome < 6) return core_.OnOrderResult(order, engine_.Execute(order, now_), now_);
     // The order was not sent.
     if (outcome == 6) return core_.OnOrderResult(order, EngineOrderResult::kRejected, now_);
     if (outcome == 7) engine_.Execute(order, now_);  // Executed, but the answer is lost.
     if (outcome == 9) {
-      const TimeMs delay = 200 + static_cast<int>(word->Next(8800));
+      const TimeMs delay = 200 + static_cast<int>(choices->Next(8800));
       engine_.delayed_orders.push_back({order, now_ + delay});
       std::sort(engine_.delayed_orders.begin(), engine_.delayed_orders.end(),
                 [](const auto& a, const auto& b) { return a.arrives_at < b.arrives_at; });
