--- a/include/junctionrail/placement.h
+++ b/include/junctionrail/placement.h
@@ -171,7 +171,7 @@
   TimeMs new_waits_updated_at_ = 0;
   std::map<ModelRef, TimeMs> adapter_used_at_;
   TimeMs next_order_at_ = 0;  // No order is sent earlier; set when an order is refused.
-  std::optional<StoreWant> blocked_store_load_;
+  std::optional<StoreLoadRequest> blocked_store_load_;
   TimeMs blocked_since_ = 0;  // 0 if no load is blocked.
 };
 
--- a/src/placement/messages.cc
+++ b/src/placement/messages.cc
@@ -29,11 +29,12 @@
 
 // The fields that change with every view, except the values per loaded model.
 json EngineLoadToJson(const EngineView& view) {
-  json message = {{"ms", view.remaining_ms}, {"r", view.running}, {"w", view.waiting},
-                  {"kv", view.kv_share},     {"e", view.entries}, {"wr", view.wants_per_s}};
-  if (view.store_want) {
-    const StoreWant& want = *view.store_want;
-    message["sw"] = {want.is_waited_for, want.age_ms, want.weight};
+  json message = {
+      {"ms", view.load_remaining_ms}, {"r", view.running}, {"w", view.waiting},
+      {"kv", view.kv_usage},          {"e", view.entries}, {"wr", view.model_waits_per_s}};
+  if (view.store_load_request) {
+    const StoreLoadRequest& want = *view.store_load_request;
+    message["sw"] = {want.has_waiting_requests, want.age_ms, want.weight};
   }
   return message;
 }
@@ -44,10 +45,10 @@
   if (parts.has_loaded) (*message)["m"] = ToJson(view.loaded);
   if (parts.has_load_state) {
     (*message)["l"] = view.loading;
-    (*message)["s"] = view.is_from_store;
+    (*message)["s"] = view.is_loading_from_store;
     (*message)["q"] = view.queue;
   }
-  if (parts.has_local_models) (*message)["h"] = view.at_hand;
+  if (parts.has_local_models) (*message)["h"] = view.cached_models;
 }
 
 json InLoadedOrder(const EngineView& view, const std::map<std::string, double>& values) {
@@ -74,26 +75,27 @@
   if (is_whole || it.contains("m")) view->loaded = ReadLoaded(it.at("m"));
   if (is_whole || it.contains("l")) {
     view->loading = it.at("l").get<std::string>();
-    view->is_from_store = it.at("s").get<bool>();
+    view->is_loading_from_store = it.at("s").get<bool>();
     view->queue = it.at("q").get<std::vector<std::string>>();
   }
-  if (is_whole || it.contains("h")) view->at_hand = it.at("h").get<std::vector<std::string>>();
+  if (is_whole || it.contains("h"))
+    view->cached_models = it.at("h").get<std::vector<std::string>>();
 }
 
 void ReadEngineLoad(const json& it, EngineView* view) {
-  view->remaining_ms = it.at("ms").get<DurationMs>();
+  view->load_remaining_ms = it.at("ms").get<DurationMs>();
   view->running = it.at("r").get<int>();
   view->waiting = it.at("w").get<int>();
-  view->kv_share = it.at("kv").get<double>();
+  view->kv_usage = it.at("kv").get<double>();
   view->entries = it.at("e").get<int>();
-  if (it.contains("u")) view->per_s = ReadByModel(it.at("u"), *view);
-  if (it.contains("c")) view->closing_ms = ReadByModel(it.at("c"), *view);
-  view->wants_per_s = it.value("wr", 0.0);
-  view->store_want.reset();
+  if (it.contains("u")) view->requests_per_s = ReadByModel(it.at("u"), *view);
+  if (it.contains("c")) view->eviction_cost_ms = ReadByModel(it.at("c"), *view);
+  view->model_waits_per_s = it.value("wr", 0.0);
+  view->store_load_request.reset();
   const auto want = it.find("sw");
   if (want != it.end()) {
-    view->store_want = StoreWant{want->at(0).get<bool>(), want->at(2).get<double>(),
-                                 want->at(1).get<DurationMs>()};
+    view->store_load_request = StoreLoadRequest{want->at(0).get<bool>(), want->at(2).get<double>(),
+                                                want->at(1).get<DurationMs>()};
   }
 }
 
@@ -119,8 +121,8 @@
   ViewParts parts;
   parts.has_loaded = before.loaded != after.loaded;
   parts.has_load_state = before.loading != after.loading || before.queue != after.queue ||
-                         before.is_from_store != after.is_from_store;
-  parts.has_local_models = before.at_hand != after.at_hand;
+                         before.is_loading_from_store != after.is_loading_from_store;
+  parts.has_local_models = before.cached_models != after.cached_models;
   return parts;
 }
 
@@ -142,9 +144,9 @@
   json message = EngineLoadToJson(view);
   message["i"] = view.instance;
   AddParts(view, kAllParts, &message);
-  message["u"] = view.per_s;
-  message["c"] = view.closing_ms;
-  message["re"] = view.relays_ends;
+  message["u"] = view.requests_per_s;
+  message["c"] = view.eviction_cost_ms;
+  message["re"] = view.relays_upstream_ends;
   return PackCbor(message);
 }
 
@@ -153,8 +155,8 @@
   AddParts(view, parts, &message);
   // Sent as lists in the order of the loaded models, which the reader knows: the names would be
   // half of the bytes.
-  message["u"] = InLoadedOrder(view, view.per_s);
-  message["c"] = InLoadedOrder(view, view.closing_ms);
+  message["u"] = InLoadedOrder(view, view.requests_per_s);
+  message["c"] = InLoadedOrder(view, view.eviction_cost_ms);
   return PackCbor(message);
 }
 
@@ -164,7 +166,7 @@
     if (instance != it.end()) {
       *view = EngineView();
       view->instance = instance->get<std::string>();
-      view->relays_ends = it.value("re", false);
+      view->relays_upstream_ends = it.value("re", false);
     } else if (view->instance.empty()) {
       return false;
     }
@@ -178,13 +180,13 @@
   json wanted = json::array();
   for (const auto& it : demand.wanted) {
     wanted.push_back({it.ref.model, it.ref.adapter, it.waiting, it.priority, it.age_ms,
-                      it.replica_per_s, it.callers_late, kUnusedElement, it.late, it.left_ms,
-                      it.per_s, it.at_risk_per_s});
+                      it.requests_per_s_per_replica, it.late_callers, kUnusedElement, it.late,
+                      it.slack_ms, it.requests_per_s, it.at_risk_requests_per_s});
   }
   json use = json::array();
   for (const auto& it : demand.use) {
-    use.push_back({it.model, it.in_flight, it.per_s, it.replicas, it.idle_ms, it.adapters_in_use,
-                   it.target_ms, it.priority});
+    use.push_back({it.model, it.in_flight, it.requests_per_s, it.replicas, it.idle_ms,
+                   it.adapters_in_use, it.target_ms, it.priority});
   }
   return PackCbor({{"n", demand.entry},
                    {"i", demand.instance},
@@ -192,9 +194,9 @@
                    {"u", use},
                    {"s", demand.stage},
                    {"f", demand.may_load_from_store},
-                   {"p", demand.repeat_ms},
-                   {"d", demand.takes_updates},
-                   {"te", demand.takes_ends}});
+                   {"p", demand.resend_interval_ms},
+                   {"d", demand.accepts_view_updates},
+                   {"te", demand.wants_upstream_ends}});
 }
 
 bool DecodeDemand(std::string_view bytes, AgentDemand* demand) {
@@ -223,9 +225,9 @@
     demand->stage = message.at("s").get<std::vector<std::string>>();
     // An entry of an older version, without the field, does not limit loads from the store.
     demand->may_load_from_store = message.value("f", true);
-    demand->repeat_ms = message.value("p", demand->repeat_ms);
-    demand->takes_updates = message.value("d", false);
-    demand->takes_ends = message.value("te", false);
+    demand->resend_interval_ms = message.value("p", demand->resend_interval_ms);
+    demand->accepts_view_updates = message.value("d", false);
+    demand->wants_upstream_ends = message.value("te", false);
     return true;
   });
 }
--- a/src/placement/placement_core.cc
+++ b/src/placement/placement_core.cc
@@ -162,7 +162,8 @@
 
 void PlacementCore::ExpireDemands(TimeMs now) {
   for (auto it = demands_.begin(); it != demands_.end();) {
-    const auto max_age_ms = kDemandExpiryPeriods * static_cast<double>(it->second.demand.repeat_ms);
+    const auto max_age_ms =
+        kDemandExpiryPeriods * static_cast<double>(it->second.demand.resend_interval_ms);
     const bool is_silent = static_cast<double>(now - it->second.received_at) > max_age_ms;
     it = is_silent ? demands_.erase(it) : std::next(it);
   }
@@ -175,7 +176,7 @@
 
 bool PlacementCore::AcceptsViewUpdates(std::uint64_t link) const {
   const AgentDemand* demand = FindDemand(link);
-  return demand != nullptr && demand->takes_updates;
+  return demand != nullptr && demand->accepts_view_updates;
 }
 
 bool PlacementCore::IsAffected(std::uint64_t link, const std::vector<std::string>& gone) const {
@@ -199,13 +200,14 @@
       demand.priority = is_first ? wanted.priority : std::min(demand.priority, wanted.priority);
       demand.age_ms = std::max(demand.age_ms, wanted.age_ms);
       demand.requests_per_s_per_replica =
-          std::max(demand.requests_per_s_per_replica, wanted.replica_per_s);
-      demand.expected_late = std::max(demand.expected_late, wanted.callers_late);
+          std::max(demand.requests_per_s_per_replica, wanted.requests_per_s_per_replica);
+      demand.expected_late = std::max(demand.expected_late, wanted.late_callers);
       demand.already_late += wanted.late;
       if (wanted.waiting > wanted.late)
-        demand.ms_until_late = std::min(demand.ms_until_late, wanted.left_ms);
-      demand.requests_per_s += wanted.per_s;
-      demand.at_risk_requests_per_s = std::max(demand.at_risk_requests_per_s, wanted.at_risk_per_s);
+        demand.ms_until_late = std::min(demand.ms_until_late, wanted.slack_ms);
+      demand.requests_per_s += wanted.requests_per_s;
+      demand.at_risk_requests_per_s =
+          std::max(demand.at_risk_requests_per_s, wanted.at_risk_requests_per_s);
     }
   }
   std::vector<CombinedDemand> demands;
@@ -269,7 +271,7 @@
     for (const auto& entry_use : it.demand.use) {
       if (entry_use.model != model) continue;
       use.in_flight += entry_use.in_flight;
-      use.requests_per_s += entry_use.per_s;
+      use.requests_per_s += entry_use.requests_per_s;
       use.replicas = std::max(use.replicas, entry_use.replicas);
       if (entry_use.idle_ms < 0) continue;
       use.priority =
@@ -314,7 +316,7 @@
                                                : spec->adapter_mb;
     CheckInvariant(spec != nullptr && UsedMb() + mb <= spec_.accelerator_mb,
                    "a load order fits into the accelerator's memory");
-    CheckInvariant(target.adapter.empty() || UsedAdapterSlots() < spec_.adapter_places,
+    CheckInvariant(target.adapter.empty() || UsedAdapterSlots() < spec_.adapter_slots,
                    "a load order for an adapter finds a free adapter slot");
   }
   return EngineOrder{kind, std::move(target), report_.sequence, std::move(reason), {}};
@@ -395,7 +397,7 @@
   if (IsStoredLocally(model) || MayLoadFromStore()) return false;
   if (blocked_since_ == 0) blocked_since_ = now;
   if (!blocked_store_load_) blocked_store_load_.emplace();
-  blocked_store_load_->is_waited_for |= is_waited_for;
+  blocked_store_load_->has_waiting_requests |= is_waited_for;
   blocked_store_load_->weight = std::max(blocked_store_load_->weight, weight);
   blocked_store_load_->age_ms = now - blocked_since_;
   return true;
@@ -409,7 +411,7 @@
   if (std::find(coming.begin(), coming.end(), demand.ref) != coming.end()) return std::nullopt;
   const ModelSpec* spec = spec_.Find(demand.ref.model);
   if (spec == nullptr || coming.size() >= kMaxConcurrentAdapterLoads) return std::nullopt;
-  const bool fits = UsedAdapterSlots() < spec_.adapter_places &&
+  const bool fits = UsedAdapterSlots() < spec_.adapter_slots &&
                     UsedMb() + spec->adapter_mb <= spec_.accelerator_mb;
   if (fits) return MakeOrder(OrderKind::kLoad, demand.ref, "requests wait for the adapter");
   // Evict the least recently used adapter.
@@ -550,12 +552,12 @@
 EngineView PlacementCore::BuildView(TimeMs now) const {
   EngineView view;
   view.instance = instance_;
-  view.relays_ends = true;
+  view.relays_upstream_ends = true;
   for (const auto& it : report_.loaded) {
     if (it.name == changing_model_) continue;
     view.loaded.push_back(it);
-    view.per_s[it.name] = CombineUse(it.name).requests_per_s;
-    view.closing_ms[it.name] = EvictionCost(it.name);
+    view.requests_per_s[it.name] = CombineUse(it.name).requests_per_s;
+    view.eviction_cost_ms[it.name] = EvictionCost(it.name);
     const bool has_unloading_adapter =
         pending_order_ && pending_order_->kind == OrderKind::kUnload &&
         pending_order_->target.model == it.name && !pending_order_->target.adapter.empty();
@@ -568,9 +570,9 @@
       report_.is_busy || (pending_order_ && pending_order_->target.adapter.empty());
   if (is_changing) {
     view.loading = is_unloading_ ? "unloading" : changing_model_;
-    view.is_from_store = is_loading_from_store_;
+    view.is_loading_from_store = is_loading_from_store_;
     const DurationMs total_ms = is_unloading_ ? kUnloadEstimateMs : EstimateLoadMs(changing_model_);
-    view.remaining_ms =
+    view.load_remaining_ms =
         std::max<DurationMs>(kConflictBackoffMs, total_ms - (now - changing_since_));
   }
   for (const auto& it : CombineDemands()) {
@@ -578,17 +580,18 @@
                            it.ref.model != changing_model_ && !Contains(view.queue, it.ref.model);
     if (is_queued) view.queue.push_back(it.ref.model);
   }
-  view.at_hand = report_.on_disk;
+  view.cached_models = report_.on_disk;
   for (const auto& it : report_.in_memory) {
-    if (!Contains(view.at_hand, it)) view.at_hand.push_back(it);
+    if (!Contains(view.cached_models, it)) view.cached_models.push_back(it);
   }
-  view.wants_per_s = new_waits_per_s_ * std::exp(-static_cast<double>(now - new_waits_updated_at_) /
-                                                 kNewWaitRateWindowMs);
+  view.model_waits_per_s =
+      new_waits_per_s_ *
+      std::exp(-static_cast<double>(now - new_waits_updated_at_) / kNewWaitRateWindowMs);
   view.running = report_.running;
   view.waiting = report_.waiting;
-  view.kv_share = report_.kv_cache_usage;
+  view.kv_usage = report_.kv_cache_usage;
   view.entries = std::max<int>(1, static_cast<int>(demands_.size()));
-  if (!is_changing) view.store_want = blocked_store_load_;
+  if (!is_changing) view.store_load_request = blocked_store_load_;
   return view;
 }
 
--- a/test/placement_test.cc
+++ b/test/placement_test.cc
@@ -12,7 +12,7 @@
 EngineSpec MakeSpec() {
   EngineSpec spec;
   spec.accelerator_mb = 230;
-  spec.adapter_places = 2;
+  spec.adapter_slots = 2;
   for (const char* name : {"a", "b", "c", "d", "e"}) {
     spec.models.push_back({name, 72, 1, 6000, 800, 400});
   }
@@ -126,15 +126,15 @@
   EXPECT_TEXT("nothing", engine.NextOrder(), "no memory is freed yet either");
   engine.now += 300;
   EXPECT_TEXT("nothing", engine.NextOrder(), "");
-  const auto want = engine.core.BuildView(engine.now).store_want;
-  EXPECT_TRUE(want && want->is_waited_for, "the view reports the blocked load");
+  const auto want = engine.core.BuildView(engine.now).store_load_request;
+  EXPECT_TRUE(want && want->has_waiting_requests, "the view reports the blocked load");
   EXPECT_NUMBER(300, want->age_ms, "");
   engine.SendDemand({MakeDemand("b", 1), MakeDemand("a", 1)}, {}, {}, false);
   EXPECT_TRUE(engine.NextOrder().substr(0, 7) == "unload ",
               "a load from disk does not wait for the weight store");
   engine.SendDemand({MakeDemand("b", 1)}, {}, {}, true);
   EXPECT_TRUE(engine.NextOrder().substr(0, 7) == "unload ", "memory is freed now");
-  EXPECT_TRUE(!engine.core.BuildView(engine.now).store_want, "no load is blocked any more");
+  EXPECT_TRUE(!engine.core.BuildView(engine.now).store_load_request, "no load is blocked any more");
 }
 
 TEST(PlacementLoads, NeedsMajorityOfEntriesForWeightStoreLoad) {
@@ -166,22 +166,22 @@
   const auto weigh = [&engine](const ModelDemand& demand) {
     engine.SendDemand({demand}, {}, {}, false);
     engine.NextOrder();
-    return engine.core.BuildView(engine.now).store_want.value_or(StoreWant()).weight;
+    return engine.core.BuildView(engine.now).store_load_request.value_or(StoreLoadRequest()).weight;
   };
   ModelDemand replica = MakeDemand("a", 0, 1);
-  replica.replica_per_s = 12;
+  replica.requests_per_s_per_replica = 12;
   ModelDemand waiting = MakeDemand("b", 1, 0);
-  waiting.per_s = 0.2;
+  waiting.requests_per_s = 0.2;
   const double rare = weigh(waiting);
   EXPECT_TRUE(weigh(replica) > rare,
               "12 requests per second of the next lower priority against one in 5 s");
-  replica.replica_per_s = 1.2;
+  replica.requests_per_s_per_replica = 1.2;
   EXPECT_TRUE(weigh(replica) < rare, "at a tenth of that rate the rare model comes first");
   waiting.waiting = 9;
   EXPECT_TRUE(weigh(waiting) == rare, "callers waiting now will have left when the load ends");
   engine.report.on_disk = {"a", "b"};
   engine.SendReport();
-  replica.replica_per_s = 12;
+  replica.requests_per_s_per_replica = 12;
   engine.SendDemand({replica, MakeDemand("b", 1, 0)});
   EXPECT_TEXT("load b", engine.NextOrder(), "for loads from disk, waiting requests come first");
 }
@@ -194,17 +194,17 @@
   engine.report.on_disk = {};
   engine.SendReport();
   ModelDemand spare = MakeDemand("a", 0);
-  spare.at_risk_per_s = 3;
+  spare.at_risk_requests_per_s = 3;
   ModelDemand rare = MakeDemand("b", 1);
-  rare.per_s = 0.2;
+  rare.requests_per_s = 0.2;
   engine.SendDemand({spare, rare});
   EXPECT_TEXT("load a", engine.NextOrder(), "three requests per second will find no copy");
-  spare.at_risk_per_s = 0.1;
+  spare.at_risk_requests_per_s = 0.1;
   engine.SendDemand({spare, rare});
   EXPECT_TEXT("load b", engine.NextOrder(), "a waiting request counts more than 0.1 per second");
   for (const char* it : {"b", "c", "d"}) engine.AddLoaded(it);
   engine.SendReport();
-  spare.at_risk_per_s = 30;
+  spare.at_risk_requests_per_s = 30;
   engine.SendDemand({spare}, {MakeUse("b", 0, 0.5), MakeUse("c", 0, 0.5), MakeUse("d", 0, 0.5)});
   EXPECT_TEXT("nothing", engine.NextOrder(), "no model with demand is evicted for a spare copy");
 }
@@ -215,12 +215,12 @@
   ModelDemand late = MakeDemand("a", 2);
   late.late = 2;
   ModelDemand urgent = MakeDemand("b", 1);
-  urgent.left_ms = 1200;
+  urgent.slack_ms = 1200;
   ModelDemand relaxed = MakeDemand("c", 1);
-  relaxed.left_ms = 9000;
+  relaxed.slack_ms = 9000;
   engine.SendDemand({late, urgent, relaxed});
   EXPECT_TEXT("load b", engine.NextOrder(), "b is on time only if it is loaded next");
-  urgent.left_ms = 300;
+  urgent.slack_ms = 300;
   engine.SendDemand({late, urgent, relaxed});
   EXPECT_TEXT("load a", engine.NextOrder(),
               "b is late in any case now, and two requests wait for a");
@@ -312,11 +312,11 @@
     it.priority = 0;
   }
   ModelDemand replica = MakeDemand("d", 0, 0);
-  replica.callers_late = 0.5;
+  replica.late_callers = 0.5;
   engine.SendDemand({replica}, use);
   EXPECT_TEXT("nothing", engine.NextOrder(),
               "the replica saves 0.5 s of waiting; evicting a costs 1.9 s");
-  replica.callers_late = 4;
+  replica.late_callers = 4;
   engine.SendDemand({replica}, use);
   EXPECT_TEXT("unload a", engine.NextOrder(), "four callers are late at any time");
 }
@@ -328,7 +328,7 @@
   engine.SendReport();
   const std::vector<ModelUse> use = {MakeUse("a", 0, 0.1), MakeUse("b", 0, 3), MakeUse("c", 0, 3)};
   ModelDemand replica = MakeDemand("d", 0, 0);
-  replica.callers_late = 9;
+  replica.late_callers = 9;
   engine.SendDemand({replica}, use);
   EXPECT_TEXT("unload a", engine.NextOrder(), "a has the least demand");
   engine.ReportResult(EngineOrderResult::kAccepted);
@@ -452,7 +452,7 @@
     engine.SendDemand({MakeDemand(n % 2 == 0 ? "a" : "b", 3)});
     engine.now += 250;
   }
-  const double per_s = engine.core.BuildView(engine.now).wants_per_s;
+  const double per_s = engine.core.BuildView(engine.now).model_waits_per_s;
   EXPECT_TRUE(per_s > 1.5 && per_s < 2.2,
               "expected about 2 per second, got " + std::to_string(per_s));
 }
@@ -465,7 +465,7 @@
   ModelUse busy = MakeUse("a", 0, 10);
   busy.target_ms = 300;
   engine.SendDemand({}, {busy, MakeUse("b", 0, 0.1)});
-  const auto cost = engine.core.BuildView(engine.now).closing_ms;
+  const auto cost = engine.core.BuildView(engine.now).eviction_cost_ms;
   EXPECT_TRUE(cost.at("a") > 10 * cost.at("b"),
               "got " + std::to_string(cost.at("a")) + " and " + std::to_string(cost.at("b")));
 }
@@ -512,18 +512,18 @@
   EngineView view;
   view.instance = "u1";
   view.loaded = {{"a", {"x"}}, {"b", {}}};
-  view.per_s = {{"a", 1.5}, {"b", 0.5}};
-  view.closing_ms = {{"a", 250}, {"b", 0}};
-  view.store_want = StoreWant{true, 2.5, 40};
-  for (int n = 0; n < 18; ++n) view.at_hand.push_back("model-number-" + std::to_string(n));
+  view.requests_per_s = {{"a", 1.5}, {"b", 0.5}};
+  view.eviction_cost_ms = {{"a", 250}, {"b", 0}};
+  view.store_load_request = StoreLoadRequest{true, 2.5, 40};
+  for (int n = 0; n < 18; ++n) view.cached_models.push_back("model-number-" + std::to_string(n));
   const std::string whole = EncodeView(view);
   EngineView read;
   EXPECT_TRUE(DecodeView(whole, &read), "the first view on a link is a full one");
 
   EngineView next = view;
   next.running = 7;
-  next.per_s["b"] = 2.5;
-  next.store_want.reset();
+  next.requests_per_s["b"] = 2.5;
+  next.store_load_request.reset();
   EXPECT_TRUE(ChangedParts(view, next).IsEmpty(), "only the engine's load differs");
   const std::string update = EncodeViewUpdate(next, ChangedParts(view, next));
   EXPECT_TRUE(update.size() * 3 < whole.size(), "expected less than a third of " +
@@ -531,21 +531,21 @@
                                                     std::to_string(update.size()));
   EXPECT_TRUE(DecodeView(update, &read), "the update decodes");
   EXPECT_NUMBER(7, read.running, "");
-  EXPECT_TRUE(read.per_s.at("b") == 2.5 && read.closing_ms.at("a") == 250,
+  EXPECT_TRUE(read.requests_per_s.at("b") == 2.5 && read.eviction_cost_ms.at("a") == 250,
               "lists are mapped back to models");
-  EXPECT_NUMBER(18, read.at_hand.size(), "parts that are not sent stay unchanged");
-  EXPECT_TRUE(!read.store_want, "the blocked load has ended");
+  EXPECT_NUMBER(18, read.cached_models.size(), "parts that are not sent stay unchanged");
+  EXPECT_TRUE(!read.store_load_request, "the blocked load has ended");
 
   EngineView later = next;
   later.loaded = {{"b", {}}};
-  later.per_s = {{"b", 3}};
-  later.closing_ms = {{"b", 9}};
+  later.requests_per_s = {{"b", 3}};
+  later.eviction_cost_ms = {{"b", 9}};
   later.loading = "c";
-  later.at_hand = {"c"};
+  later.cached_models = {"c"};
   EXPECT_TRUE(DecodeView(EncodeViewUpdate(later, ChangedParts(next, later)), &read), "");
   EXPECT_TRUE(read.loaded == later.loaded && read.loading == "c", "");
-  EXPECT_TRUE(read.per_s.size() == 1 && read.per_s.at("b") == 3, "");
-  EXPECT_NUMBER(1, read.at_hand.size(), "");
+  EXPECT_TRUE(read.requests_per_s.size() == 1 && read.requests_per_s.at("b") == 3, "");
+  EXPECT_NUMBER(1, read.cached_models.size(), "");
 }
 
 TEST(PlacementMessages, RejectUpdateWithoutMatchingView) {
@@ -555,7 +555,7 @@
   EXPECT_TRUE(!DecodeView(EncodeViewUpdate(view, {}), &read), "there is no view to update");
   EngineView with_model = view;
   with_model.loaded = {{"a", {}}};
-  with_model.per_s = {{"a", 1}};
+  with_model.requests_per_s = {{"a", 1}};
   EXPECT_TRUE(DecodeView(EncodeView(with_model), &read), "");
   EXPECT_TRUE(!DecodeView(EncodeViewUpdate(view, {}), &read),
               "the update has rates for fewer models than the view");
@@ -566,49 +566,49 @@
   view.instance = "u1";
   view.loaded = {{"a", {"x"}}};
   view.loading = "b";
-  view.is_from_store = true;
-  view.remaining_ms = 700;
+  view.is_loading_from_store = true;
+  view.load_remaining_ms = 700;
   view.queue = {"c"};
-  view.at_hand = {"a", "b"};
-  view.kv_share = 0.5;
-  view.store_want = StoreWant{true, 2.5, 40};
-  view.per_s = {{"a", 1.5}};
-  view.closing_ms = {{"a", 250}};
-  view.wants_per_s = 1.25;
+  view.cached_models = {"a", "b"};
+  view.kv_usage = 0.5;
+  view.store_load_request = StoreLoadRequest{true, 2.5, 40};
+  view.requests_per_s = {{"a", 1.5}};
+  view.eviction_cost_ms = {{"a", 250}};
+  view.model_waits_per_s = 1.25;
   EngineView read;
   EXPECT_TRUE(DecodeView(EncodeView(view), &read), "the view decodes");
   EXPECT_TEXT("x", read.loaded.at(0).adapters.at(0), "");
   EXPECT_TEXT("b", read.loading, "");
-  EXPECT_NUMBER(700, read.remaining_ms, "");
-  EXPECT_TRUE(read.store_want && read.store_want->is_waited_for, "");
-  EXPECT_NUMBER(40, read.store_want->age_ms, "");
-  EXPECT_TRUE(read.store_want->weight == 2.5, "");
-  EXPECT_TRUE(read.per_s.at("a") == 1.5, "");
-  EXPECT_TRUE(read.closing_ms.at("a") == 250, "");
-  EXPECT_TRUE(read.wants_per_s == 1.25, "");
+  EXPECT_NUMBER(700, read.load_remaining_ms, "");
+  EXPECT_TRUE(read.store_load_request && read.store_load_request->has_waiting_requests, "");
+  EXPECT_NUMBER(40, read.store_load_request->age_ms, "");
+  EXPECT_TRUE(read.store_load_request->weight == 2.5, "");
+  EXPECT_TRUE(read.requests_per_s.at("a") == 1.5, "");
+  EXPECT_TRUE(read.eviction_cost_ms.at("a") == 250, "");
+  EXPECT_TRUE(read.model_waits_per_s == 1.25, "");
   AgentDemand demand{"e",   "u1", {MakeDemand("a", 2, 0, "x", 9)}, {MakeUse("a", 1, 0.5, 2)},
                      {"d"}, false};
   demand.use[0].adapters_in_use = {"x"};
   demand.use[0].target_ms = 300;
-  demand.wanted[0].callers_late = 2.5;
+  demand.wanted[0].late_callers = 2.5;
   demand.wanted[0].late = 1;
-  demand.wanted[0].left_ms = 700;
-  demand.wanted[0].per_s = 0.25;
-  demand.repeat_ms = 1800;
-  demand.takes_updates = true;
+  demand.wanted[0].slack_ms = 700;
+  demand.wanted[0].requests_per_s = 0.25;
+  demand.resend_interval_ms = 1800;
+  demand.accepts_view_updates = true;
   AgentDemand read_demand;
   EXPECT_TRUE(DecodeDemand(EncodeDemand(demand), &read_demand), "the demand decodes");
   EXPECT_TEXT("a/x", read_demand.wanted.at(0).ref.ToString(), "");
   EXPECT_TEXT("x", read_demand.use.at(0).adapters_in_use.at(0), "");
   EXPECT_NUMBER(300, read_demand.use.at(0).target_ms, "");
-  EXPECT_TRUE(read_demand.wanted.at(0).callers_late == 2.5, "");
+  EXPECT_TRUE(read_demand.wanted.at(0).late_callers == 2.5, "");
   EXPECT_NUMBER(1, read_demand.wanted.at(0).late, "");
-  EXPECT_NUMBER(700, read_demand.wanted.at(0).left_ms, "");
-  EXPECT_TRUE(read_demand.wanted.at(0).per_s == 0.25, "");
+  EXPECT_NUMBER(700, read_demand.wanted.at(0).slack_ms, "");
+  EXPECT_TRUE(read_demand.wanted.at(0).requests_per_s == 0.25, "");
   EXPECT_TEXT("d", read_demand.stage.at(0), "");
   EXPECT_TRUE(!read_demand.may_load_from_store, "");
-  EXPECT_NUMBER(1800, read_demand.repeat_ms, "");
-  EXPECT_TRUE(read_demand.takes_updates, "");
+  EXPECT_NUMBER(1800, read_demand.resend_interval_ms, "");
+  EXPECT_TRUE(read_demand.accepts_view_updates, "");
 }
 
 TEST(PlacementMessages, FillMissingFieldsWithDefaults) {
@@ -624,11 +624,11 @@
   AgentDemand demand;
   EXPECT_TRUE(DecodeDemand(bytes, &demand), "five values per model are enough");
   EXPECT_NUMBER(2, demand.wanted.at(0).waiting, "");
-  EXPECT_TRUE(demand.wanted.at(0).replica_per_s == 0, "");
+  EXPECT_TRUE(demand.wanted.at(0).requests_per_s_per_replica == 0, "");
   EXPECT_NUMBER(0, demand.use.at(0).target_ms, "");
   EXPECT_TRUE(demand.may_load_from_store, "the sender does not limit loads from the store");
-  EXPECT_NUMBER(1000, demand.repeat_ms, "the sender repeats its demand every second");
-  EXPECT_TRUE(!demand.takes_updates, "the sender accepts full views only");
+  EXPECT_NUMBER(1000, demand.resend_interval_ms, "the sender repeats its demand every second");
+  EXPECT_TRUE(!demand.accepts_view_updates, "the sender accepts full views only");
 }
 
 TEST(PlacementMessages, IgnoreUnknownFields) {
--- a/test/store_return_test.cc
+++ b/test/store_return_test.cc
@@ -50,7 +50,7 @@
   std::string Choice() {
     PickRequest request;
     request.service = "plain";
-    const Pick pick = gateway.upstreams().Choose(request, MonotonicMs());
+    const PickResult pick = gateway.upstreams().Choose(request, MonotonicMs());
     const auto* to = std::get_if<SendTo>(&pick);
     return to == nullptr ? "" : to->instance;
   }
@@ -162,7 +162,7 @@
   world.store.Put("servers/i-1", Record("ready", R"(,"born":1000)"));
   world.FollowUpstreams();
   EXPECT_TRUE(world.AwaitChoice("i-1@1000"), "known by its id and its start");
-  world.gateway.upstreams().OnOtherInstance("i-1@1000");
+  world.gateway.upstreams().OnInstanceReplaced("i-1@1000");
   EXPECT_TEXT("", world.Choice(), "that one has ended");
   world.store.Put("servers/i-1", Record("ready", R"(,"born":2000)"));
   EXPECT_TRUE(world.AwaitChoice("i-1@2000"), "nothing of before is held against the new one");
@@ -214,7 +214,7 @@
     boost::asio::io_context io;
     EventLog log{QuietLog()};
     GatewayOptions options;
-    options.callers = {"127.0.0.1", 0};
+    options.listen_endpoint = {"127.0.0.1", 0};
     Gateway gateway(io, options, log);
     const auto port = gateway.Listen().value();
     testing::ScriptedUpstream silent(
@@ -225,15 +225,15 @@
     route.host = "shop.example";
     route.path_prefix = "/a/";
     route.timeout_ms = 60000;
-    route.first_answer_ms = 60000;
-    route.shares = {{"plain", 1}};
+    route.first_byte_target_ms = 60000;
+    route.traffic_split = {{"plain", 1}};
     configuration.routes = {route};
     configuration.services = {{"plain", 64, std::nullopt}};
     gateway.ApplyConfiguration(configuration);
     gateway.ApplyListing(
         {{{"u1", "plain", silent.endpoint(), "hall-1", 8, false, {}}}, MonotonicMs()});
     int resumed = 0;
-    gateway.OnResumed([&] { ++resumed; });
+    gateway.OnVmResumed([&] { ++resumed; });
     testing::TestCaller caller(io, port);
     caller.Send(
         "POST /a/x HTTP/1.1\r\nHost: shop.example\r\nJunctionrail-Request-Id: r1\r\n"
