--- a/include/junctionrail/placement.h
+++ b/include/junctionrail/placement.h
@@ -265,8 +265,8 @@
 // The parts of a view that change seldom and make up most of its size.
 struct ViewParts {
   bool has_loaded = false;        // `loaded`.
-  bool has_load_state = false;    // `loading`, `is_from_store` and `queue`.
-  bool has_local_models = false;  // `at_hand`.
+  bool has_load_state = false;    // `loading`, `is_loading_from_store`, `queue`.
+  bool has_local_models = false;  // `cached_models`.
 
   bool IsEmpty() const { return !has_loaded && !has_load_state && !has_local_models; }
   void Merge(const ViewParts& other);
--- a/src/placement/placement_core.cc
+++ b/src/placement/placement_core.cc
@@ -9,7 +9,7 @@
 namespace junctionrail {
 namespace {
 
-// An entry's demand expires after this many of its repeat periods without a message: the entry
+// An entry's demand expires after this many of its resend intervals without a message: the entry
 // is gone, or will not get through before its requests time out.
 constexpr double kDemandExpiryPeriods = 2.5;
 // An entry that sent a request for a model within this time may send another before it
