--- a/include/junctionrail/gateway.h
+++ b/include/junctionrail/gateway.h
@@ -1,6 +1,6 @@
-// The direct path: callers' HTTP/1.1 on one side, upstreams' on the other, in
-// one process. The gateway routes, retries within a budget, resumes streams,
-// holds requests for models that are being loaded, and refuses truthfully.
+// An HTTP/1.1 reverse proxy between callers and upstreams. It routes requests, retries within a
+// budget, resumes event streams at another upstream, holds requests while their model is being
+// loaded, and states in each of its own error responses whether the request may have run.
 #ifndef JUNCTIONRAIL_GATEWAY_H_
 #define JUNCTIONRAIL_GATEWAY_H_
 
@@ -17,26 +17,26 @@
 
 namespace junctionrail {
 
-// The names of the headers that callers, entries and upstreams share.
+// Names of the HTTP headers that callers, entries and upstreams exchange.
 struct HttpHeaderNames {
   std::string request_id = "Junctionrail-Request-Id";
   std::string deadline_ms = "Junctionrail-Deadline-Ms";
   std::string priority = "Junctionrail-Priority";
-  std::string instance = "Junctionrail-Instance";                    // On an upstream's answer.
-  std::string expected_instance = "Junctionrail-Expected-Instance";  // On a request to it.
+  std::string instance = "Junctionrail-Instance";                    // In an upstream's response.
+  std::string expected_instance = "Junctionrail-Expected-Instance";  // In a request to an upstream.
   std::string not_run = "Junctionrail-Not-Run";
-  std::string proof = "Junctionrail-Proof";  // The upstream's seal on its answer.
+  std::string proof = "Junctionrail-Proof";  // In an upstream's response; required on success.
   std::string model = "Junctionrail-Model";
   std::string prompt_parts = "Junctionrail-Prompt-Parts";
   std::string last_event_id = "Last-Event-ID";
-  std::string key = "Junctionrail-Key";                    // Of a caller; goes no further.
-  std::string organisation = "Junctionrail-Organisation";  // To an upstream: who holds the key.
-  std::string token_usage = "Junctionrail-Token-Usage";    // Two whole numbers, and a comma.
-  // Headers that only the system sets; dropped from what callers send.
+  std::string key = "Junctionrail-Key";                    // The caller's key; not forwarded.
+  std::string organisation = "Junctionrail-Organisation";  // The key's owner; to an upstream.
+  std::string token_usage = "Junctionrail-Token-Usage";    // Prompt tokens, maximum output tokens.
+  // Headers that only the system may set; removed from callers' requests.
   std::vector<std::string> reserved;
 };
 
-// Reads what an upstream's answer says beside its body.
+// Extracts an upstream's notice from the head of its response.
 using NoticeReader =
     std::function<UpstreamNotice(unsigned status, const std::vector<HttpHeader>& fields)>;
 
@@ -44,15 +44,15 @@
   Endpoint listen_endpoint;
   std::string data_hall;
   HttpHeaderNames header_names;
-  NoticeReader read_notice;  // Empty: upstreams say nothing that is to be read.
+  NoticeReader read_notice;  // Empty: notices are not read.
   RetryBudget::Options retry_budget;
   RoutingOptions routing;
-  std::string entry_id;  // This one, for those that grant quotas.
-  // Nothing is sent for a key by a configuration that may have been replaced for so long;
-  // 0: any age will do.
+  std::string entry_id;  // Identifies this entry to quota allocators.
+  // Requests with a key are refused once the configuration may have been superseded for this
+  // long; 0: no limit.
   DurationMs key_revocation_ms = 0;
-  // After a stop the balancer may send new connections for so long: it notices
-  // after two checks, a second apart.
+  // The load balancer may open connections for this long after Stop: it notices after two
+  // health checks, one second apart.
   DurationMs balancer_delay_ms = 2500;
 };
 
@@ -60,30 +60,30 @@
   std::uint64_t connections = 0;
   std::uint64_t requests = 0;
   std::uint64_t served = 0;
-  std::uint64_t relayed_failures = 0;     // Failures of upstreams, passed on.
-  std::uint64_t refused = 0;              // Not run.
-  std::uint64_t unknown_outcomes = 0;     // May have run.
-  std::uint64_t truncated_responses = 0;  // Cut after the answer began.
-  std::uint64_t cancelled = 0;            // By the caller.
+  std::uint64_t relayed_failures = 0;     // Upstream error responses sent on to the caller.
+  std::uint64_t refused = 0;              // Known not to have run.
+  std::uint64_t unknown_outcomes = 0;     // May have run, without a response to relay.
+  std::uint64_t truncated_responses = 0;  // Aborted after the response had begun.
+  std::uint64_t cancelled = 0;            // The caller disconnected.
   std::uint64_t bad_requests = 0;
   std::uint64_t retries = 0;
   std::uint64_t resumes = 0;
   std::uint64_t model_waits = 0;
-  std::uint64_t invalid_key_refusals = 0;          // Refused for a key that is missing or unknown.
-  std::uint64_t stale_configuration_refusals = 0;  // Refused, as the key may have been taken away.
-  std::uint64_t over_quota_refusals = 0;  // Refused, as the organisation has used up its quota.
-  std::uint64_t quota_unavailable_refusals = 0;  // Refused, as nobody grants quotas.
-  std::uint64_t quarantine_refusals = 0;         // Refused, as upstreams end when they run them.
-  std::uint64_t upstreams_ended = 0;             // With requests of this entry under way.
-  std::uint64_t rate_limited_sends = 0;  // Sends that found nothing left of an upstream's limit.
-  std::uint64_t backoff_requests = 0;    // Refusals of upstreams that ask for a rest.
+  std::uint64_t invalid_key_refusals = 0;          // Key missing or unknown.
+  std::uint64_t stale_configuration_refusals = 0;  // Key may have been revoked.
+  std::uint64_t over_quota_refusals = 0;           // Organisation's quota used up.
+  std::uint64_t quota_unavailable_refusals = 0;    // No quota allocator answered.
+  std::uint64_t quarantine_refusals = 0;           // Running them crashes upstreams.
+  std::uint64_t upstreams_ended = 0;               // With requests of this entry in flight.
+  std::uint64_t rate_limited_sends = 0;            // Sends held back by an upstream's rate limit.
+  std::uint64_t backoff_requests = 0;              // Upstream refusals that asked for a backoff.
   std::uint64_t malformed_notices = 0;
   std::uint64_t surplus_responses = 0;
   std::uint64_t upstream_connections = 0;
 };
 
-// Upper bounds of the latency histogram in ms; the last bucket has none. The
-// same in every process, so that histograms add up.
+// Upper bounds of the histogram buckets in ms; the last bucket is unbounded. They are the same in
+// every process so that histograms can be summed.
 constexpr std::int64_t kLatencyBucketsMs[] = {5,   10,   25,   50,   100,  200,   300,  400,
                                               600, 1000, 1500, 2500, 5000, 10000, 25000};
 constexpr std::size_t kLatencyBuckets = sizeof(kLatencyBucketsMs) / sizeof(std::int64_t) + 1;
@@ -102,14 +102,13 @@
   ~Gateway();
 
   Result<std::uint16_t, NetError> Listen();
-  // Finishes what is under way, ends each connection with its next answer,
-  // then calls `done`; at the latest when `most_ms` are over.
+  // Drains: completes the requests in flight, closes each connection after its next response and
+  // then calls `done`, after `most_ms` at the latest.
   void Stop(DurationMs most_ms, std::function<void()> done);
 
-  // Takes effect for the next request. An older version than the present one
-  // is not applied.
+  // Applies to requests that arrive from now on. Ignored unless newer than the current version.
   void ApplyConfiguration(RoutingConfiguration configuration);
-  // The configuration in force was the newest one when a question was asked, at `as_of`.
+  // The current configuration was the newest one at `as_of`.
   void ConfirmConfiguration(TimeMs as_of);
   void SetRevokeMs(DurationMs revoke_ms);
   void SetRetries(RetryBudget::Options options);
@@ -122,39 +121,40 @@
   bool has_configuration() const;
   const RoutingConfiguration& configuration() const;
   UpstreamTable& upstreams();
-  // The present demand, by instance.
+  // The current demand, by the instance it is addressed to.
   std::map<std::string, AgentDemand> Demands();
-  // Of it, what requests that wait ask of one agent.
+  // The part of it that waiting requests ask of the agent of one instance.
   std::vector<ModelDemand> WaitingDemandFor(const std::string& instance);
-  // Called when a request begins to wait for a model, with whose agent is asked.
+  // Called when a request starts to wait for a model, with the instance whose agent should load it.
   void OnNewDemand(std::function<void(const std::string& instance)> call);
 
-  // The VM was suspended until just now: what was read before is older than it seems.
+  // Called when the VM has resumed from a suspension: state read before it is older than it seems.
   void OnVmResumed(std::function<void()> call);
-  // An upstream ended with requests of this entry under way that may have caused it.
+  // Called when an upstream ended while requests of this entry that may have caused it were in
+  // flight.
   void OnUpstreamEnd(std::function<void(const UpstreamEnd&)> call);
-  // What this entry found out, and refuses from now on.
+  // Called when this entry has found that a request crashes upstreams and refuses it from now on.
   void OnRequestQuarantined(std::function<void(const RequestDigest&)> call);
-  // What is to be sent to givers of quotas, who they are, and what they answer.
+  // Exchange with the quota allocators: messages to send, the allocators, and their replies.
   void OnQuotaMessages(std::function<void(const QuotaTaker::Message&)> call);
   void SetQuotaGivers(std::vector<QuotaTaker::Giver> givers);
   void ApplyQuotaGrant(const QuotaGrant& grant);
-  // The link to that instance has closed.
+  // The link to the quota allocator of that instance has closed.
   void OnQuotaLinkClosed(const std::string& instance);
   const QuotaTaker& quotas() const;
 
-  // What other processes saw and found out.
+  // Findings of other processes.
   void AddUpstreamEnd(const UpstreamEnd& end);
   void QuarantineRequest(const RequestDigest& digest);
-  // False when it is not refused here.
+  // Returns false if this entry does not refuse the request.
   bool ReleaseRequest(const RequestDigest& digest);
   const QuarantineTable& quarantine() const;
 
   const GatewayCounters& counters() const;
   const LatencyHistogram& first_byte_latency() const;
-  // How old the list of upstreams was by which each attempt was sent.
+  // Age of the upstream list at each attempt.
   const LatencyHistogram& listing_age() const;
-  // Since the configuration in force is known to have been the newest; -1: it never was.
+  // Time since the current configuration was last confirmed as the newest; -1: never confirmed.
   DurationMs ConfigurationAge() const;
 
   class Impl;
--- a/src/gateway/caller_connection.cc
+++ b/src/gateway/caller_connection.cc
@@ -14,15 +14,14 @@
 using boost::system::error_code;
 
 constexpr std::size_t kReadBytes = 8 << 10;
-// What a caller may send ahead while its request is under way.
+// The maximum a caller may send ahead while its request is in flight.
 constexpr std::size_t kMaxPipelinedBytes = 64 << 10;
-// A caller that does not read is left so far behind before its upstream is
-// paused.
+// The maximum of unsent output to a slow caller before reading from its upstream is paused.
 constexpr std::size_t kMaxUnsentBytes = 256 << 10;
-// Before the configuration is known; then its own limits hold.
+// Until a configuration, with its own limit, is known.
 constexpr DurationMs kDefaultIdleTimeoutMs = 15000;
-// After the last answer the caller's own close is awaited, as closing with
-// bytes unread would reset the connection under the answer.
+// How long to wait for the caller's close after the last response. Closing with unread data would
+// reset the connection and could lose the response.
 constexpr DurationMs kLingerMs = 1000;
 
 constexpr unsigned kBadRequest = 400;
@@ -95,8 +94,7 @@
   }
 }
 
-// A message whose length two readers may understand differently could hide a
-// second request.
+// A message whose length two parsers may interpret differently could smuggle a second request.
 bool CallerConnection::IsFramingUnambiguous() const {
   const auto& fields = parser_->get().base();
   const auto codings = fields.equal_range(http::field::transfer_encoding);
@@ -113,7 +111,7 @@
   Reject(kBadRequest, "malformed_request");
 }
 
-// Answers what was not understood; nothing after it can be trusted.
+// Rejects malformed input and closes, as the boundary of the next request is unknown.
 void CallerConnection::Reject(unsigned status, std::string_view code) {
   ++gateway_.counters.bad_requests;
   gateway_.log.Write(MonotonicMs(), "bad_request",
@@ -141,7 +139,7 @@
   timer_.Cancel();
   exchange_ = std::make_shared<Exchange>(gateway_, std::move(request),
                                          std::weak_ptr<CallerSink>(shared_from_this()));
-  // The exchange may be over when Start returns.
+  // Start may finish the exchange and reset `exchange_`.
   const auto exchange = exchange_;
   exchange->Start();
 }
@@ -172,7 +170,7 @@
     AppendField("Connection", "close", &text);
   }
   text += "\r\n";
-  pending_output_ += text;  // Leaves with the first event.
+  pending_output_ += text;  // Sent with the first event.
 }
 
 void CallerConnection::SendBodyPart(std::string_view data) {
@@ -194,8 +192,8 @@
   return pending_output_.size() + output_in_flight_.size() > kMaxUnsentBytes;
 }
 
-// Looks at the socket itself: while this process has no processor time a close
-// waits there, behind the request that it takes back.
+// Peeks at the socket: if this process was short of processor time, a close may be queued there
+// behind the request that it cancels.
 bool CallerConnection::HasDisconnected() {
   if (is_closed_) return true;
   error_code ec;
@@ -216,7 +214,7 @@
   }
   ArmTimer(gateway_.routes ? gateway_.routes->configuration().limits.idle_timeout_ms
                            : kDefaultIdleTimeoutMs);
-  // Not from within the exchange's own call.
+  // Deferred, as this runs within a call from the exchange.
   asio::post(gateway_.io, [self = shared_from_this()] {
     if (self->is_closed_ || self->exchange_) return;
     self->Parse();
@@ -268,7 +266,7 @@
 void CallerConnection::Drain(bool closes_after_response) {
   is_draining_ = true;
   closes_after_response_ = closes_after_response;
-  // A request that is being read is still served.
+  // A request that is being received is still served.
   const bool is_between = IsIdle() && !parser_ && buffer_.size() == 0;
   if (closes_after_response && is_between && !is_last_response_done_) {
     is_last_response_done_ = true;
@@ -278,7 +276,7 @@
 
 void CallerConnection::ForceClose() {
   if (exchange_) exchange_->OnStop();
-  // What OnStop wrote leaves with the kernel's buffer.
+  // One non-blocking write passes what OnStop wrote to the kernel.
   if (!output_in_flight_.empty() || !pending_output_.empty()) {
     error_code ec;
     socket_.non_blocking(true, ec);
@@ -305,7 +303,7 @@
     const CallerLimits limits =
         gateway_.routes ? gateway_.routes->configuration().limits : CallerLimits();
     if (!parser_->is_header_done()) return Reject(kRequestTimeout, "header_timeout");
-    // A body that still arrives has the idle limit between its pieces.
+    // While a body is being received, the idle timeout applies between its parts.
     const DurationMs quiet = MonotonicMs() - last_activity_at_;
     if (quiet >= limits.idle_timeout_ms) return Reject(kRequestTimeout, "body_timeout");
     return ArmTimer(limits.idle_timeout_ms - quiet);
--- a/src/gateway/caller_connection.h
+++ b/src/gateway/caller_connection.h
@@ -1,5 +1,5 @@
-// One connection of a caller: reads requests one after the other, hands each
-// to an exchange, and writes its answer.
+// A caller's HTTP/1.1 connection: parses requests one at a time, passes each to an Exchange and
+// writes its response.
 #ifndef JUNCTIONRAIL_GATEWAY_CALLER_CONNECTION_H_
 #define JUNCTIONRAIL_GATEWAY_CALLER_CONNECTION_H_
 
@@ -22,12 +22,12 @@
   CallerConnection(Gateway::Impl& gateway, boost::asio::ip::tcp::socket socket);
 
   void Start();
-  // The process is to end: the next answer is the last. `closes_after_response`: closes
-  // at once when no request is under way.
+  // Closes the connection after its next response. With `closes_after_response` it closes at once
+  // if no request is in flight, and after a response whether or not that announced the close.
   void Drain(bool closes_after_response);
-  // The process ends now.
+  // Closes now; a request in flight fails.
   void ForceClose();
-  // The VM was suspended until just now.
+  // The VM has resumed from a suspension.
   void OnVmResumed();
   bool IsIdle() const {
     return exchange_ == nullptr && pending_output_.empty() && output_in_flight_.empty();
@@ -65,16 +65,16 @@
   boost::beast::flat_buffer buffer_;
   std::optional<Parser> parser_;
   std::shared_ptr<Exchange> exchange_;
-  std::string pending_output_;     // To be written next.
-  std::string output_in_flight_;   // Under way.
-  TimeMs request_started_at_ = 0;  // First byte of the request being read; 0: none.
+  std::string pending_output_;     // Not yet passed to the socket.
+  std::string output_in_flight_;   // Being written.
+  TimeMs request_started_at_ = 0;  // When the request being read began; 0: none.
   TimeMs last_activity_at_ = 0;
   bool is_reading_ = false;
   bool is_keep_alive_ = true;
   bool is_head_method_ = false;
   bool is_draining_ = false;
-  bool closes_after_response_ = false;  // Closes after any answer, announced or not.
-  bool is_last_response_done_ = false;  // Closes once all is written.
+  bool closes_after_response_ = false;  // Even if the response did not announce it.
+  bool is_last_response_done_ = false;  // Closes once all output is written.
   bool is_lingering_ = false;
   bool is_closed_ = false;
 };
--- a/src/gateway/crash_detector.cc
+++ b/src/gateway/crash_detector.cc
@@ -8,16 +8,17 @@
 namespace junctionrail::internal {
 namespace {
 
-// Within a region a port answers within some ms; a lost packet costs a second.
+// Within a region a port responds within a few milliseconds; a lost packet costs a second.
 constexpr DurationMs kPortCheckTimeoutMs = 400;
-// What was read so long after the first connection broke was sent after it: connections
-// of one upstream that ended broke within 4 ms, over 17 recorded ends.
+// Data read this long after the first connection broke was sent after the break: the connections
+// of an ended upstream broke within 4 ms of each other in 17 recorded cases.
 constexpr DurationMs kSentAfterBreakMs = 100;
-// By then the list of upstreams has shown whether it has ended: a record lapses after
-// three periods of writing, 3.6 s.
+// By then the upstream list has shown whether the upstream ended: its record expires after three
+// write periods, 3.6 s.
 constexpr DurationMs kPendingEndMs = 5000;
-// An upstream that breaks off some of its answers is looked at once a second; one that ends
-// within that time is known by other entries' word or by its record.
+// The interval between port checks of one upstream grows to a second, so that one that breaks off
+// some of its responses is not checked for each. An end within the interval is learned from other
+// entries or from the upstream's record.
 constexpr DurationMs kMinCheckIntervalMs = 250;
 constexpr DurationMs kMaxCheckIntervalMs = 1000;
 
@@ -48,8 +49,8 @@
   return end;
 }
 
-// An upstream that starts again is sent to before its new record is read, under its old
-// instance; that start may end too.
+// A restarted upstream is sent requests under its old instance until its new record is read, and
+// may end again before that; NameOfEnd tells the two ends apart.
 void CrashDetector::OnConnectionBroken(const std::string& instance, const Endpoint& endpoint,
                                        TimeMs begun_at, TimeMs now) {
   const std::string name = quarantine_.NameOfEnd(instance, begun_at);
@@ -70,7 +71,7 @@
              });
 }
 
-// An open port may be that of the next instance, where this process was slow to look.
+// An open port proves nothing: if this check was slow, it may belong to the next instance.
 void CrashDetector::OnPortChecked(const std::string& instance, PortState state) {
   const TimeMs now = MonotonicMs();
   if (state == PortState::kRefused) return OnUpstreamEnded(instance, "port_closed", now);
@@ -114,7 +115,7 @@
   if (it != pending_ends_.end() && it->second.name == told.instance) {
     return OnUpstreamEnded(instance, "told", now);
   }
-  // Its connections here have not broken yet, or never will, behind a cut.
+  // Its connections from here have not broken yet, or never will because of a network partition.
   UpstreamEnd end = CollectSuspects(instance, told.instance, now);
   const bool is_known = quarantine_.IsKnown(told.instance);
   if (end.suspects.empty() || is_known) return;
--- a/src/gateway/crash_detector.h
+++ b/src/gateway/crash_detector.h
@@ -1,6 +1,6 @@
-// Notices that an upstream has ended and which requests of this entry had just
-// begun there. One broken connection may be no more than that: whether a process still
-// listens at the upstream's port, or what is heard of it later, tells.
+// Detects that an upstream has ended and which requests of this entry had just begun there. A
+// broken connection alone is no proof: a check of the upstream's port, or later data from the
+// upstream or other processes, decides.
 #ifndef JUNCTIONRAIL_GATEWAY_CRASH_DETECTOR_H_
 #define JUNCTIONRAIL_GATEWAY_CRASH_DETECTOR_H_
 
@@ -21,47 +21,47 @@
 
 class CrashDetector {
  public:
-  // `ended`: an upstream has ended, by which evidence, and so long ago; the suspects are those of
-  // this entry.
+  // Called when an upstream has ended, with the kind of evidence. The suspects are those of this
+  // entry; `age_ms` of the end is the time since.
   using EndCallback = std::function<void(const UpstreamEnd& end, std::string_view evidence)>;
 
   CrashDetector(boost::asio::io_context& io, QuarantineTable& quarantine, EndCallback ended)
       : io_(io), quarantine_(quarantine), on_end_(std::move(ended)) {}
 
-  // The exchange has an attempt under way at the upstream, until it is over.
+  // Registers and removes an attempt of the exchange in flight at the upstream.
   void OnAttemptBegun(const std::string& instance, Exchange* exchange);
   void OnAttemptOver(const std::string& instance, Exchange* exchange);
 
-  // An attempt that began at `begun_at` at an upstream that is listed broke off; it is still
-  // under way here.
+  // The connection of an attempt that began at `begun_at` broke. The upstream is listed, and the
+  // attempt is still registered.
   void OnConnectionBroken(const std::string& instance, const Endpoint& endpoint, TimeMs begun_at,
                           TimeMs now);
-  // The upstream sent something.
+  // The upstream sent data.
   void OnDataReceived(const std::string& instance, TimeMs now);
-  // It is known by other means to have ended, or to end as planned.
+  // The upstream has ended, by other evidence, or is leaving as planned.
   void OnUpstreamEnded(const std::string& instance, std::string_view evidence, TimeMs now);
   void OnUpstreamLeaving(const std::string& instance);
-  // Another process saw it end: what this entry had under way there counts.
+  // Another process saw it end: attempts of this entry in flight there are suspects too.
   void OnEndReported(const UpstreamEnd& end, TimeMs now);
   void Expire(TimeMs now);
 
  private:
   struct PendingEnd {
-    std::string name;  // Of the end; see QuarantineTable::NameOfEnd.
+    std::string name;  // Identifies the end; see QuarantineTable::NameOfEnd.
     TimeMs since = 0;
     UpstreamEnd end;
   };
-  // Ports found open, so that an upstream which breaks off some of its answers is not
-  // looked at for each.
+  // Ports found open are not checked again at once, so that an upstream that breaks off some of
+  // its responses is not checked for each of them.
   struct OpenPort {
     TimeMs next_check_at = 0;
     DurationMs pause_ms = 0;
   };
 
-  // What of this entry an end of that name may have been under.
+  // The attempts of this entry that may have caused the end of that name.
   UpstreamEnd CollectSuspects(const std::string& instance, const std::string& name,
                               TimeMs now) const;
-  // The upstream has not ended.
+  // Withdraws the pending end, as the upstream has not ended or is leaving. Returns the next one.
   std::map<std::string, PendingEnd>::iterator DiscardPendingEnd(
       std::map<std::string, PendingEnd>::iterator it);
   void CheckPort(const std::string& instance, const Endpoint& endpoint);
@@ -73,7 +73,7 @@
   std::map<std::string, std::set<Exchange*>> attempts_;  // By instance.
   std::map<std::string, PendingEnd> pending_ends_;       // By instance.
   std::map<std::string, OpenPort> open_ports_;
-  // A look that ends after this object does nothing.
+  // Lets a port check that completes after the destruction of this object do nothing.
   std::shared_ptr<bool> lifetime_ = std::make_shared<bool>(true);
 };
 
--- a/src/gateway/event_stream.cc
+++ b/src/gateway/event_stream.cc
@@ -7,7 +7,7 @@
 namespace junctionrail::internal {
 namespace {
 
-// The position after the blank line that ends the first event; npos if none.
+// Returns the position after the blank line that ends the first event, or npos.
 std::size_t EndOfEvent(std::string_view text) {
   const std::size_t lf = text.find("\n\n");
   const std::size_t crlf = text.find("\n\r\n");
--- a/src/gateway/event_stream.h
+++ b/src/gateway/event_stream.h
@@ -1,5 +1,5 @@
-// Cuts a text/event-stream into whole events, so that an answer may go on at
-// another upstream after the last one.
+// Splits a text/event-stream into complete events, so that a response can be resumed at another
+// upstream after the last of them.
 #ifndef JUNCTIONRAIL_GATEWAY_EVENT_STREAM_H_
 #define JUNCTIONRAIL_GATEWAY_EVENT_STREAM_H_
 
@@ -12,16 +12,16 @@
 
 class EventStreamReader {
  public:
-  // Takes bytes as they arrive and returns those that complete events. Events
-  // that a resumed upstream sends again are left out.
+  // Takes received bytes and returns the events they complete. Events with a numeric id that is not
+  // above the last one are dropped, as an upstream may repeat events when it resumes.
   std::string Feed(std::string_view data);
 
-  // The upstream broke off: what is left of its last event is dropped.
+  // Call before resuming at another upstream.
   void DiscardPartialEvent() { partial_event_.clear(); }
 
-  // Bytes after the last whole event.
+  // Bytes received after the last complete event.
   const std::string& partial_event() const { return partial_event_; }
-  // The id of the last whole event; empty before any had one.
+  // The id of the last complete event that had one; empty if none had.
   const std::string& last_id() const { return last_id_; }
   std::uint64_t event_count() const { return event_count_; }
 
--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -9,24 +9,24 @@
 namespace junctionrail::internal {
 namespace {
 
-// Attempts that did not run at all may be followed by so many others: enough
-// to get past restarted and full upstreams, few enough to end soon.
+// The maximum number of attempts that did not run: enough to get past restarted and full
+// upstreams, few enough to end soon.
 constexpr int kMaxUnrunAttempts = 5;
-// An upstream that is silent for so many times the target for the first byte
-// has most likely lost the request; one that may be repeated goes elsewhere.
+// The silence timeout before the response, as a multiple of the target for the first byte. An
+// upstream silent for longer has most likely lost the request; a repeatable one is then retried.
 constexpr double kSilenceTargetFactor = 0.75;
 constexpr double kStreamSilenceTargetFactor = 2.0;
 constexpr DurationMs kMinSilenceMs = 150;
-// A silent stream that may be resumed goes on elsewhere after so many times
-// the target for its pauses.
+// The silence timeout within a resumable stream, as a multiple of the target for its pauses. The
+// stream is then resumed at another upstream.
 constexpr double kSilencePauseFactor = 2.5;
-// The upstream gives up this much before us, so that its own word arrives.
+// The upstream's deadline is earlier by this, so that its own error response arrives in time.
 constexpr DurationMs kDeadlineMarginMs = 20;
-// Without an agent to ask, a request waits this long for one to be heard of.
+// How long a request waits for an agent to appear if there is none to ask for the model.
 constexpr DurationMs kNoAgentWaitMs = 1200;
 constexpr DurationMs kDefaultRetryAfterMs = 500;
-// Another try of the same suspected request is over within this: the wait for its first event,
-// and what QuarantineLimits::harmless_after_ms adds.
+// A concurrent attempt of the same suspected request is over within this time: the wait for its
+// first event plus QuarantineLimits::harmless_after_ms.
 constexpr DurationMs kConcurrentSuspectWaitMs = 500;
 
 constexpr unsigned kBadRequest = 400;
@@ -37,8 +37,7 @@
 
 std::string_view PathOf(std::string_view target) { return target.substr(0, target.find('?')); }
 
-// Requests that share all parts of their prompt but the last read the same
-// memory.
+// Requests whose prompts differ only in the last part read the same memory.
 std::string_view SharedPromptParts(std::string_view parts) {
   const std::size_t last = parts.rfind(',');
   return last == std::string_view::npos ? std::string_view() : parts.substr(0, last);
@@ -82,7 +81,8 @@
   return route_ != nullptr;
 }
 
-// Reads what the choice and the time limits need. False when it answered.
+// Reads the header fields that set the service, the deadlines, the model and the affinity. Returns
+// false if it sent an error response.
 bool Exchange::ReadFields() {
   const HttpHeaderNames& names = gateway_.options.header_names;
   if (request_id_.empty()) {
@@ -130,7 +130,7 @@
   GiveUp(ExecutionSoFar(), std::get<NoneLeft>(choice).reason);
 }
 
-// Worked out only while there is something to compare it with, as it reads the whole body.
+// Computed only when there is something to compare it with, as it hashes the whole body.
 const RequestDigest& Exchange::Digest() {
   if (!digest_) {
     const auto field = [this](std::string_view name) {
@@ -160,11 +160,11 @@
   return Suspect{Digest(), has_event, is_sole_suspect_};
 }
 
-// The caller is told at once, and that to come back will not help: no time to do so.
-// Not a client's error, as nothing is wrong with the request's form.
+// Refuses at once and without Retry-After, as a retry would not help. Not a 4xx status, as the
+// request is well-formed.
 void Exchange::RefuseQuarantined() {
   ++gateway_.counters.quarantine_refusals;
-  constexpr char kReason[] = "upstreams that run this request end; it is not sent to another";
+  constexpr char kReason[] = "upstreams that run this request crash; it is not sent to another one";
   if (is_response_begun_) return GiveUp(Execution::kMayHaveRun, kReason);
   const bool may_have_run = ExecutionSoFar() == Execution::kMayHaveRun;
   Refuse(may_have_run ? kBadGateway : kUnavailable, "ends_upstreams", kReason, ExecutionSoFar(), 0);
@@ -188,7 +188,7 @@
   request.tried = tried_instances_;
   if (!gateway_.quarantine.IsEmpty()) {
     const bool is_suspect = IsSuspect();
-    // One try at a time, as its callers may send it several times at once.
+    // One attempt at a time, as callers may send the same request several times at once.
     const auto other_try = is_suspect && model_ ? gateway_.probation.Find(Digest()) : std::nullopt;
     if (other_try) return WaitFor{*other_try, kConcurrentSuspectWaitMs, "alone", 0};
     auto& besides = is_suspect ? request.taken : request.risky;
@@ -206,7 +206,7 @@
     ++gateway_.counters.model_waits;
     waiting_since_ = now;
   }
-  // Once the model is up, the engine needs its time for the first event too.
+  // After the load, the engine still needs its usual time to the first event.
   const DurationMs patience =
       wait_deadline_at_ - now - (model_ ? gateway_.upstreams.FirstEventMs(*model_) : 0);
   const bool has_agent = !wait.instance.empty();
@@ -225,15 +225,15 @@
                         {"patience_ms", patience}});
   }
   if (is_response_begun_)
-    return GiveUp(Execution::kMayHaveRun, "no upstream holds the model any more");
+    return GiveUp(Execution::kMayHaveRun, "no upstream has the model loaded any more");
   if (is_new_ask && gateway_.on_new_demand) gateway_.on_new_demand(asked_instance_);
   if (is_hopeless && ExecutionSoFar() == Execution::kMayHaveRun)
-    return GiveUp(Execution::kMayHaveRun, "no upstream holds the model");
+    return GiveUp(Execution::kMayHaveRun, "no upstream has the model loaded");
   if (is_hopeless) {
-    // The load is asked for all the same: the caller is told to come back when
-    // it is up.
+    // The load is requested nevertheless: the caller is told to retry when it is expected to be
+    // done.
     gateway_.RecordRefusedWait(*this);
-    return Refuse(kUnavailable, "model_not_loaded", "the model is not up in time",
+    return Refuse(kUnavailable, "model_not_loaded", "the model will not be loaded in time",
                   Execution::kNotRun, std::max(wait.estimate_ms, kDefaultRetryAfterMs));
   }
   is_waiting_for_model_ = true;
@@ -249,12 +249,12 @@
 void Exchange::SendRequest(const std::string& instance) {
   const UpstreamRecord* upstream = gateway_.upstreams.Find(instance);
   if (upstream == nullptr) return GiveUp(ExecutionSoFar(), "no_upstream");
-  // One read of the socket an attempt buys that no upstream works for a caller that
-  // has left, however late this process comes to its request.
+  // For one socket read per attempt, no upstream works for a caller that has already disconnected,
+  // however late this process handles the request.
   const auto sink = sink_.lock();
   if (!sink || sink->HasDisconnected()) return Finish("cancelled", 0);
   CheckInvariant(route_->MayRepeat() || possibly_run_attempts_ == 0,
-                 "a request that may not be repeated is sent on only if it has not run");
+                 "a non-repeatable request is sent again only if it has not run");
   if (is_waiting_for_model_) {
     is_waiting_for_model_ = false;
     waited_ms_ += MonotonicMs() - waiting_since_;
@@ -311,8 +311,8 @@
   return head;
 }
 
-// What was chosen may have left or asked for a rest, and the caller may have left, while the
-// connection was opened.
+// While the connection was being opened, the upstream may have left or asked for a backoff, the key
+// may have been revoked, and the caller may have disconnected.
 bool Exchange::MaySend() {
   const auto sink = sink_.lock();
   const bool is_key_good =
@@ -326,12 +326,12 @@
   call_ = nullptr;
   const bool was_sent = failure == UpstreamFailure::kBroken;
   const UpstreamRecord* upstream = gateway_.upstreams.Find(instance_);
-  // One that had said that it leaves ends as planned.
+  // An upstream that has announced that it leaves ends as planned.
   if (was_sent && upstream != nullptr && gateway_.upstreams.IsListed(instance_)) {
     gateway_.crash_detector.OnConnectionBroken(instance_, upstream->endpoint, attempt_started_at_,
                                                MonotonicMs());
   }
-  // An upstream from which a request was withheld has shown no fault.
+  // A withheld request is no evidence of a fault of the upstream.
   EndAttempt(was_sent                                ? AttemptEnd::kFailed
              : failure == UpstreamFailure::kWithheld ? AttemptEnd::kRefused
                                                      : AttemptEnd::kUnreachable);
@@ -395,7 +395,7 @@
   AttemptNext();
 }
 
-// Sends the request to another upstream where that is safe and paid for.
+// Retries at another upstream if that is safe and, where needed, within the retry budget.
 bool Exchange::TryRetry(Execution ran, bool was_sent) {
   const TimeMs now = MonotonicMs();
   if (now >= deadline_at_ || sink_.expired()) return false;
@@ -408,7 +408,7 @@
   if (may_have_run || was_sent) {
     const Pick choice = ChooseUpstream(now);
     if (std::holds_alternative<NoneLeft>(choice)) return false;
-    // Events were delivered: no load can be waited for.
+    // Once events were delivered, the stream does not wait for a load.
     if (is_response_begun_ && !std::holds_alternative<SendTo>(choice)) return false;
     if (!TakeRetryFromBudget(now)) return false;
   }
@@ -455,11 +455,11 @@
     call_->Cancel();
     EndAttempt(AttemptEnd::kAbandoned);
   }
-  GiveUp(ExecutionSoFar(), "this process ends");
+  GiveUp(ExecutionSoFar(), "the entry is shutting down");
 }
 
-// How long this attempt may be silent before the request goes elsewhere; 0 for
-// as long as it has.
+// How long the upstream may be silent before the request is retried elsewhere; 0: until the
+// deadline.
 DurationMs Exchange::SilenceTimeout() const {
   if (!gateway_.upstreams.policy().leaves_silent) return 0;
   if (!call_ || !route_->MayRepeat() || possibly_run_attempts_ >= route_->max_attempts) return 0;
@@ -490,23 +490,23 @@
       call_->Cancel();
       EndAttempt(AttemptEnd::kSilent);
     }
-    return GiveUp(ExecutionSoFar(), "no answer within its time");
+    return GiveUp(ExecutionSoFar(), "no response before the deadline");
   }
   if (is_waiting_for_model_ && now >= wait_deadline_at_ &&
       ExecutionSoFar() == Execution::kMayHaveRun) {
-    return GiveUp(Execution::kMayHaveRun, "no upstream held the model in time");
+    return GiveUp(Execution::kMayHaveRun, "no upstream had the model loaded in time");
   }
   if (is_waiting_for_model_ && now >= wait_deadline_at_) {
-    return Refuse(kUnavailable, "model_not_loaded", "the model was not up in time",
+    return Refuse(kUnavailable, "model_not_loaded", "the model was not loaded in time",
                   Execution::kNotRun, kDefaultRetryAfterMs);
   }
   const DurationMs silence = SilenceTimeout();
   if (silence > 0 && now - last_activity_at_ >= silence) {
-    // Only where another upstream can take it and the budget has an attempt
-    // left; else the wait goes on.
+    // Only if another upstream can take it and the retry budget allows it; otherwise the wait goes
+    // on.
     const Pick choice = ChooseUpstream(now);
     const auto* to = std::get_if<SendTo>(&choice);
-    // One with a limit may have nothing left of it.
+    // An upstream with a rate limit may have nothing left of it.
     const bool is_free = to != nullptr && !gateway_.upstreams.LimitOf(to->instance);
     if (is_free && TakeRetryFromBudget(now)) {
       call_->Cancel();
--- a/src/gateway/exchange.h
+++ b/src/gateway/exchange.h
@@ -1,5 +1,5 @@
-// One request from its arrival to its last byte: its route, its attempts at
-// upstreams, and what the caller is told.
+// One request from its arrival to the last byte of its response: its route, its attempts at
+// upstreams, and the response to the caller.
 #ifndef JUNCTIONRAIL_GATEWAY_EXCHANGE_H_
 #define JUNCTIONRAIL_GATEWAY_EXCHANGE_H_
 
@@ -25,7 +25,7 @@
   TimeMs arrived_at = 0;
 };
 
-// The caller's side of an exchange.
+// Where an exchange writes its response to the caller.
 class CallerSink {
  public:
   virtual ~CallerSink() = default;
@@ -33,11 +33,11 @@
   virtual void SendHead(unsigned status, std::vector<HttpHeader> fields) = 0;
   virtual void SendBodyPart(std::string_view data) = 0;
   virtual void SendEnd() = 0;
-  // Closes without the end of the answer, so that it does not look complete.
+  // Closes the connection before the end of the response, so that it does not look complete.
   virtual void Abort() = 0;
-  // Whether more is queued than a slow caller should have.
+  // Whether a slow caller has left too much output unsent.
   virtual bool IsSendQueueFull() const = 0;
-  // Whether the caller has closed its connection, read of it or not.
+  // Whether the caller has closed its connection, even if that has not been read yet.
   virtual bool HasDisconnected() = 0;
 };
 
@@ -47,15 +47,16 @@
   ~Exchange() override;
 
   void Start();
-  // The caller has gone; the upstream is told by closing.
+  // The caller has disconnected; a call to an upstream is cancelled.
   void OnCallerDisconnected();
-  // The caller's queue has drained.
+  // All output to the caller has been written.
   void OnCallerWritable();
-  // Looks again for an upstream; called when what is loaded may have changed.
+  // Chooses an upstream again if the request waits for its model; called when that may have been
+  // loaded.
   void RetrySelection();
-  // The VM was suspended until just now, and the timer did not count that time.
+  // The VM has resumed from a suspension, which the timer did not count.
   void OnVmResumed();
-  // Gives up at once, as the process ends.
+  // Gives up at once, as the process is shutting down.
   void OnStop();
 
   const std::optional<ModelRef>& model() const { return model_; }
@@ -65,15 +66,15 @@
   DurationMs target_ms() const { return route_->first_answer_ms; }
   TimeMs first_byte_due_at() const { return request_.arrived_at + route_->first_answer_ms; }
   TimeMs waiting_since() const { return waiting_since_; }
-  TimeMs attempt_started_at() const { return attempt_started_at_; }  // When the last attempt began.
+  TimeMs attempt_started_at() const { return attempt_started_at_; }  // Of the last attempt.
   bool IsSuspect();
-  // What speaks against it if the upstream of its attempt ends now; none when it has
-  // run there for long enough.
+  // The suspect to report if the upstream of the current attempt ends now; none if the request has
+  // run there for long enough to be harmless.
   std::optional<Suspect> AsSuspect(TimeMs now);
 
-  // Whether its organisation's quota lets it be sent is asked under `ticket`; the answer.
+  // An allocator was asked for the organisation's quota under `ticket`.
   void OnQuotaRequested(std::uint64_t ticket) { quota_ticket_ = ticket; }
-  // The same for its share of what an upstream takes.
+  // An allocator was asked for a part of the upstream's rate limit under `ticket`.
   void OnUpstreamQuotaRequested(std::uint64_t ticket, const std::string& instance);
   void OnQuotaDecision(std::uint64_t ticket, const QuotaTaker::Verdict& verdict);
 
@@ -84,7 +85,7 @@
   void OnFailed(UpstreamFailure failure, std::string_view reason) override;
 
  private:
-  // Whether an attempt that ended without a whole answer may have run.
+  // Whether a request may have run at an upstream that sent no complete response.
   enum class Execution { kNotRun, kMayHaveRun };
 
   bool FindRoute();
@@ -134,7 +135,7 @@
   Gateway::Impl& gateway_;
   CallerRequest request_;
   std::weak_ptr<CallerSink> sink_;
-  std::shared_ptr<const RouteTable> routes_;  // Of the configuration it began with.
+  std::shared_ptr<const RouteTable> routes_;  // Of the configuration at its arrival.
   const Route* route_ = nullptr;
   std::string request_id_;
   std::string service_;
@@ -142,47 +143,47 @@
   std::string affinity_;
   int priority_ = 0;  // 0 is the most urgent.
   std::optional<KeyDigest> key_;
-  std::string organisation_;  // Who holds the key; empty: nobody, and none is asked for.
-  double quota_amount_ = 0;   // Of its organisation's quota.
+  std::string organisation_;  // The key's owner; empty: none, and none is required.
+  double quota_amount_ = 0;   // What it takes of the organisation's quota.
   bool has_quota_ = false;
-  std::uint64_t quota_ticket_ = 0;           // While a giver is asked; 0: none is.
-  std::uint64_t upstream_quota_ticket_ = 0;  // While one is asked what `share_of_` takes.
-  std::string upstream_quota_instance_;  // The upstream of which it has a share, or asks for one.
-  TimeMs deadline_at_ = 0;               // When the caller or the route gives it up.
-  TimeMs wait_deadline_at_ = 0;          // Until when it may wait for a model.
+  std::uint64_t quota_ticket_ = 0;           // Of the pending request to an allocator; 0: none.
+  std::uint64_t upstream_quota_ticket_ = 0;  // Likewise for `upstream_quota_instance_`.
+  std::string upstream_quota_instance_;      // Whose rate limit was acquired or requested.
+  TimeMs deadline_at_ = 0;                   // By the caller's deadline and the route's timeout.
+  TimeMs wait_deadline_at_ = 0;              // Of its wait for a model.
   boost::asio::steady_timer timer_;
 
   std::shared_ptr<UpstreamCall> call_;
-  std::string instance_;          // Of the attempt under way.
-  std::string upstream_wire_id_;  // What that upstream calls itself.
+  std::string instance_;          // Of the current attempt.
+  std::string upstream_wire_id_;  // The id that this upstream sends.
   std::vector<std::string> tried_instances_;
-  int possibly_run_attempts_ = 0;  // Sent, and not known to have not run.
-  int sent_attempts_ = 0;          // Sent at all.
+  int possibly_run_attempts_ = 0;  // Sent, unless known not to have run.
+  int sent_attempts_ = 0;          // Sent, whether or not they ran.
   int unsent_attempts_ = 0;
   TimeMs attempt_started_at_ = 0;
-  std::optional<RequestDigest> digest_;  // Worked out when it is first needed.
-  bool is_sole_suspect_ = false;         // Sent as the one suspect at its upstream.
-  TimeMs attempt_first_event_at_ = 0;    // First event of the attempt; 0: none yet.
-  TimeMs last_activity_at_ = 0;          // Last byte from the upstream in this attempt.
-  // Age of the list by which the last attempt was sent; -1: none was, or not known.
+  std::optional<RequestDigest> digest_;  // Computed on first use.
+  bool is_sole_suspect_ = false;         // Sent as the only suspect at its upstream.
+  TimeMs attempt_first_event_at_ = 0;    // 0: no event yet.
+  TimeMs last_activity_at_ = 0;          // Of the upstream; the silence timeout counts from here.
+  // Age of the upstream list at the last attempt; -1: no attempt, or unknown.
   DurationMs listing_age_ms_ = -1;
 
-  std::string asked_instance_;  // Whose agent was asked for the model.
+  std::string asked_instance_;  // Whose agent was asked to load the model.
   TimeMs waiting_since_ = 0;
-  DurationMs waited_ms_ = 0;  // For models, before it was sent.
-  // When an upstream takes requests again, where the last choice found none; 0: not known.
+  DurationMs waited_ms_ = 0;  // For a model, in total.
+  // Until an upstream accepts requests again, if none did at the last choice; 0: unknown.
   DurationMs upstream_opens_in_ms_ = 0;
   bool is_waiting_for_model_ = false;
 
-  std::optional<UpstreamHead> response_head_;  // Of the attempt under way.
+  std::optional<UpstreamHead> response_head_;  // Of the current attempt.
   std::string response_body_;
   EventStreamReader events_;
   bool is_event_stream_ = false;
-  bool is_response_begun_ = false;  // The caller has the head of its answer.
+  bool is_response_begun_ = false;  // Its head was sent to the caller.
   bool is_finished_ = false;
   TimeMs response_begun_at_ = 0;
-  TimeMs last_event_at_ = 0;         // When the last whole event came.
-  DurationMs longest_pause_ms_ = 0;  // Between two events, over all attempts.
+  TimeMs last_event_at_ = 0;         // When the last complete event arrived.
+  DurationMs longest_pause_ms_ = 0;  // Between two events, across attempts.
 };
 
 }  // namespace junctionrail::internal
--- a/src/gateway/exchange_access.cc
+++ b/src/gateway/exchange_access.cc
@@ -1,5 +1,5 @@
-// Whether a request may be sent at all: whose key it shows, whether that still holds, and what
-// its organisation has left.
+// Admission of a request: its key and the organisation that owns it, the organisation's quota, and
+// the rate limits of upstreams.
 #include <utility>
 
 #include "exchange.h"
@@ -8,10 +8,10 @@
 namespace junctionrail::internal {
 namespace {
 
-// By then the configuration has been read again, unless the store cannot be reached.
+// By then the configuration has been read again, unless the store is unreachable.
 constexpr DurationMs kOldConfigurationRetryMs = 1000;
 
-// So that a choice made again within the same millisecond passes the upstream over.
+// At least this, so that a choice within the same millisecond does not take the upstream again.
 constexpr DurationMs kMinLimitRetryMs = 2;
 
 constexpr unsigned kBadRequest = 400;
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-// Finds who sends it. False when it answered.
+// Identifies the organisation and sets the priority. Returns false if it sent an error response.
 bool Exchange::ReadKey() {
   priority_ = route_->priority;
   const auto& organisations = routes_->configuration().organisations;
@@ -50,7 +50,7 @@
   }
   ++gateway_.counters.invalid_key_refusals;
   if (key_) {
-    Refuse(kUnauthorized, "unknown_key", "no organisation holds this key", Execution::kNotRun, 0);
+    Refuse(kUnauthorized, "unknown_key", "the key is unknown", Execution::kNotRun, 0);
   } else {
     Refuse(kUnauthorized, "no_key", "expected a header " + name + ", found none",
            Execution::kNotRun, 0);
@@ -58,13 +58,14 @@
   return false;
 }
 
-// By the newest configuration, which may be a later one than the request began with.
+// By the newest configuration, which may be newer than the one at the request's arrival.
 const Organisation* Exchange::KeyOwner() const {
   const auto& organisations = gateway_.routes->configuration().organisations;
   return key_ && organisations ? organisations->FindByKey(*key_) : nullptr;
 }
 
-// What it takes of its organisation's quota. False when it answered.
+// Reads what the request takes of its organisation's quota. Returns false if it sent an error
+// response.
 bool Exchange::ReadQuotaAmount() {
   const Organisation* holder = KeyOwner();
   if (holder == nullptr || !holder->quota.IsLimited()) return true;
@@ -80,13 +81,13 @@
     return true;
   }
   Refuse(kBadRequest, "bad_token_usage",
-         "expected two whole numbers and a comma in " + name + ", found " + *usage,
+         "expected two comma-separated whole numbers in " + name + ", found " + *usage,
          Execution::kNotRun, 0);
   return false;
 }
 
-// Looked at before each attempt: keys are taken away while requests wait, and this process
-// may not hear of it. False when it answered.
+// Checks the key before each attempt, as keys are revoked while requests wait and this process may
+// not learn of it. Returns false if it ended the request.
 bool Exchange::RecheckKey() {
   if (!key_) return true;
   const Organisation* holder = KeyOwner();
@@ -103,7 +104,7 @@
   const bool may_have_run = ExecutionSoFar() == Execution::kMayHaveRun;
   if (holder == nullptr) {
     ++gateway_.counters.invalid_key_refusals;
-    constexpr char kReason[] = "no organisation holds this key any more";
+    constexpr char kReason[] = "the key has been revoked";
     if (may_have_run) {
       GiveUp(Execution::kMayHaveRun, kReason);
     } else {
@@ -112,7 +113,7 @@
     return false;
   }
   ++gateway_.counters.stale_configuration_refusals;
-  constexpr char kReason[] = "it is not known here whether the key still holds";
+  constexpr char kReason[] = "this entry cannot confirm that the key is still valid";
   if (may_have_run) {
     GiveUp(Execution::kMayHaveRun, kReason);
   } else {
@@ -122,7 +123,8 @@
   return false;
 }
 
-// Taken once, when it is first sent. False while it is asked for, and when it answered.
+// Takes the organisation's quota once, before the first send. Returns false while an allocator is
+// asked and if it refused the request.
 bool Exchange::AcquireQuota() {
   if (has_quota_ || quota_amount_ <= 0 || organisation_.empty()) return true;
   const auto verdict = gateway_.TakeQuota(shared_from_this(), organisation_, quota_amount_);
@@ -147,8 +149,8 @@
   RefuseOverQuota(verdict);
 }
 
-// Taken at each send to an upstream that names a limit. False while it is asked for, and when
-// there is none and another upstream was chosen.
+// Takes from the upstream's rate limit, if it has one, before each send. Returns false while an
+// allocator is asked, and if nothing is left, after another choice of an upstream.
 bool Exchange::AcquireUpstreamQuota(const std::string& instance) {
   const bool has_share = upstream_quota_instance_ == instance;
   upstream_quota_instance_.clear();
@@ -188,15 +190,15 @@
 void Exchange::RefuseOverQuota(const QuotaTaker::Verdict& verdict) {
   if (verdict.decision == QuotaTaker::Decision::kNoGiver) {
     ++gateway_.counters.quota_unavailable_refusals;
-    return Refuse(kUnavailable, "quota_unknown", "nobody can say what the organisation has left",
+    return Refuse(kUnavailable, "quota_unknown", "the organisation's remaining quota is unknown",
                   Execution::kNotRun, verdict.retry_ms);
   }
   ++gateway_.counters.over_quota_refusals;
-  Refuse(kTooManyRequests, "over_quota", "the organisation has used up what it may send",
-         Execution::kNotRun, verdict.retry_ms);
+  Refuse(kTooManyRequests, "over_quota", "the organisation's quota is used up", Execution::kNotRun,
+         verdict.retry_ms);
 }
 
-// Of a request that has not run.
+// Cancels pending quota requests; returns taken quota if the request has not run.
 void Exchange::ReturnQuota() {
   if (quota_ticket_ != 0) gateway_.CancelQuotaRequest(std::exchange(quota_ticket_, 0));
   if (upstream_quota_ticket_ != 0)
--- a/src/gateway/exchange_answer.cc
+++ b/src/gateway/exchange_answer.cc
@@ -1,5 +1,4 @@
-// What an exchange does with an upstream's answer, and the answers it gives
-// itself.
+// Relaying an upstream's response, and the exchange's own error responses.
 #include <algorithm>
 #include <utility>
 
@@ -31,7 +30,7 @@
   last_activity_at_ = MonotonicMs();
   gateway_.upstreams.OnHeard(instance_, last_activity_at_);
   gateway_.crash_detector.OnDataReceived(instance_, last_activity_at_);
-  // Such an answer may be that of another instance at the address.
+  // A 421 may come from another instance at the same address.
   if (head.status != kMisdirectedRequest)
     gateway_.OnUpstreamResponse(instance_, head, attempt_started_at_);
   const HttpHeaderNames& names = gateway_.options.header_names;
@@ -47,12 +46,12 @@
   if (is_success && !is_sealed) {
     call_->Cancel();
     EndAttempt(AttemptEnd::kFailed);
-    return AfterAttempt(Execution::kMayHaveRun, true, "the answer has no seal");
+    return AfterAttempt(Execution::kMayHaveRun, true, "the response has no proof header");
   }
   ArmTimer();
 }
 
-// The upstream says that it did not run the request.
+// The upstream states that it did not run the request.
 void Exchange::OnUpstreamRefusal(const UpstreamHead& head) {
   const HttpHeaderNames& names = gateway_.options.header_names;
   const TimeMs now = MonotonicMs();
@@ -62,20 +61,20 @@
     if (other != nullptr && *other != upstream_wire_id_) {
       gateway_.upstreams.OnOtherInstance(instance_);
       gateway_.crash_detector.OnUpstreamEnded(instance_, "other_instance", now);
-      reason = "another instance has the address";
+      reason = "another instance uses the address";
     } else if (model_) {
       gateway_.upstreams.OnNotLoaded(instance_, *model_, now);
-      reason = "the model is not loaded there";
-      // It may be the right one again once the model is loaded.
+      reason = "the model is not loaded at the upstream";
+      // It may be chosen again once the model is loaded.
       tried_instances_.pop_back();
     }
   } else if (gateway_.upstreams.IsResting(instance_, now)) {
-    reason = "it asks for a rest";
+    reason = "the upstream asked for a backoff";
     upstream_opens_in_ms_ = gateway_.upstreams.FindTerms(instance_)->OpensAt() - now;
-    // It may be the right one again after it.
+    // It may be chosen again after the backoff.
     if (model_) tried_instances_.pop_back();
   } else if (model_ && head.status == kUnavailable) {
-    reason = "full, or an order on the model is under way";
+    reason = "full, or a load or unload of the model is in progress";
   }
   call_->Cancel();
   EndAttempt(AttemptEnd::kRefused);
@@ -117,7 +116,7 @@
   last_event_at_ = now;
 }
 
-// Begins the caller's answer with the head of the upstream's.
+// Begins the response to the caller with the head of the upstream's.
 void Exchange::RelayStreamHead() {
   const auto sink = sink_.lock();
   if (!sink) return;
@@ -148,8 +147,8 @@
 void Exchange::RelayResponse() {
   const unsigned status = response_head_->status;
   const bool is_success = status / 100 == 2;
-  // Such a status would promise that the request did not run; without the
-  // upstream's own word nobody knows that.
+  // These statuses imply that the request did not run, which is unknown without the upstream's
+  // explicit statement.
   const bool is_false_promise =
       status == kUnavailable || status == kTooManyRequests || status == kRequestTimeout;
   EndAttempt(status >= 500 ? AttemptEnd::kFailed : AttemptEnd::kServed);
@@ -168,11 +167,11 @@
   Finish(is_success ? "served" : "passed_failure", status);
 }
 
-// An answer of our own.
+// Sends an error response of the gateway's own.
 void Exchange::Refuse(unsigned status, std::string_view code, std::string_view sentence,
                       Execution ran, DurationMs retry_after_ms) {
   CheckInvariant(ran == Execution::kMayHaveRun || possibly_run_attempts_ == 0,
-                 "a request said not to have run was sent to no upstream that may have run it");
+                 "a request reported as not run was sent to no upstream that may have run it");
   const auto sink = sink_.lock();
   std::vector<HttpHeader> fields;
   if (!request_id_.empty())
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -18,21 +18,21 @@
 using boost::system::error_code;
 
 constexpr int kListenBacklog = 1024;
-// Idle connections and parked requests are looked at so often.
+// The interval of checks of idle connections and waiting requests.
 constexpr DurationMs kTickMs = 250;
 constexpr DurationMs kStopTickMs = 50;
-// Clocks are read one after the other; less is no suspension.
+// Shorter differences between the clocks are no suspension, as they are read one after the other.
 constexpr DurationMs kMinSuspensionMs = 200;
-// From the last look at a configuration's age to the beginning of the upstream's work.
+// The time from the last check of a configuration's age until the upstream starts on the request.
 constexpr DurationMs kKeyCheckMarginMs = 400;
-// What the fleet shares is divided among the entries that agents count, and
-// among so many until they do: today's sites have four to seven.
+// Limits of the fleet are divided by the number of entries that agents count, and by at least
+// this: sites have four to seven.
 constexpr int kAssumedEntries = 8;
 constexpr int kMinConnections = 8;
-// A caller that was told to come back does so within seconds; until then the
-// load it needs stays wanted.
+// How long a refused request still counts as demand for its model: its caller, told to retry, does
+// so within seconds.
 constexpr DurationMs kRefusedWaitMs = 3000;
-// Later than any moment of a process.
+// Later than any time a process reaches.
 constexpr TimeMs kNeverLate = 1LL << 60;
 
 std::string_view EventName(ListingNews news) {
@@ -49,7 +49,7 @@
   return "upstream_listed";
 }
 
-// With the digits that tell one limit from another.
+// With enough digits to tell limits apart.
 std::string FormatLimit(std::optional<double> per_s) {
   if (!per_s) return "none";
   char text[32];
@@ -102,7 +102,7 @@
   acceptor.async_accept([self = shared_from_this()](error_code ec, tcp::socket socket) {
     if (ec == boost::asio::error::operation_aborted) return;
     if (ec) {
-      // Out of descriptors, or the connection went away before it was taken.
+      // Out of file descriptors, or the connection was closed before it was accepted.
       self->log.Write(MonotonicMs(), "accept_failed", {{"reason", ec.message()}});
     } else {
       ++self->counters.connections;
@@ -141,8 +141,8 @@
   });
 }
 
-// Timers stood still meanwhile: those of requests are set anew, so that one whose time is over
-// is answered at once, and what is believed is asked for.
+// Timers do not count a suspension. The timers of requests are set again, so that a request past
+// its deadline is answered at once, and `on_vm_resumed` has outdated state read again.
 void Gateway::Impl::CheckForSuspension() {
   const DurationMs away_ms = suspension_watch.TakeAwayMs();
   if (away_ms < kMinSuspensionMs) return;
@@ -163,8 +163,8 @@
   Tick();
 }
 
-// Until the balancer has noticed, new connections are served. Then none is
-// taken, as a request taken late could not be finished before the end.
+// Accepts new connections until the load balancer has noticed the stop, and none after that, as a
+// late request could not be completed before the process ends.
 void Gateway::Impl::ContinueStop() {
   const TimeMs now = MonotonicMs();
   if (now - stop_started_at < options.balancer_delay_ms && now < stop_deadline) return;
@@ -196,9 +196,9 @@
   RetryInOrder({waiting_exchanges.begin(), waiting_exchanges.end()});
 }
 
-// Those whose model is up at one of the engines that changed, or that asked one of
-// them. The others look again at the next tick: views of a large fleet come so often that
-// looking with each would take most of an entry's processor time.
+// Retries the requests whose model is loaded at one of the changed engines, or that asked the agent
+// of one. The others are retried at the next tick: in a large fleet views arrive so often that
+// retrying all with each would take most of an entry's processor time.
 void Gateway::Impl::RetryAffected() {
   const std::set<std::string> instances = std::exchange(changed_instances, {});
   std::vector<std::shared_ptr<internal::Exchange>> concerned;
@@ -231,7 +231,7 @@
     if (it.news == ListingNews::kLeaving) crash_detector.OnUpstreamLeaving(it.instance);
     if (it.news == ListingNews::kGone)
       crash_detector.OnUpstreamEnded(it.instance, "record_gone", now);
-    // All of them are new in the first one.
+    // In the first list all upstreams are new.
     if (is_first && it.news == ListingNews::kListed) continue;
     log.Write(
         now, EventName(it.news),
@@ -267,8 +267,8 @@
   }
 }
 
-// Of an end that this entry saw, or shared with others. The digests are cut to eight digits
-// so that the line names all suspects that an end is likely to have.
+// Handles an end that this entry saw or had suspects in. Digests are truncated to eight digits, so
+// that the log line has room for all likely suspects.
 void Gateway::Impl::OnUpstreamEnded(const UpstreamEnd& end, std::string_view evidence) {
   constexpr std::size_t kShortDigits = 8;
   ++counters.upstreams_ended;
@@ -308,7 +308,7 @@
 
 void Gateway::Impl::RetrySuspects() {
   if (waiting_exchanges.empty()) return;
-  // Not from within an exchange's own call.
+  // Deferred, as this may run within a call from an exchange.
   boost::asio::post(io, [self = shared_from_this()] {
     std::vector<std::shared_ptr<internal::Exchange>> suspects;
     for (const auto& it : self->waiting_exchanges) {
@@ -356,7 +356,7 @@
                                        std::uint64_t ticket) {
   pending_quota_requests.emplace(ticket, exchange);
   if (std::exchange(is_quota_send_scheduled, true)) return;
-  // All requests that come with the same wake-up go into one question.
+  // Batches all requests of this event loop iteration into one message.
   boost::asio::post(io, [self = shared_from_this()] {
     self->is_quota_send_scheduled = false;
     self->SendQuotaMessages();
@@ -365,7 +365,7 @@
 
 void Gateway::Impl::SetUpstreamLimit(const std::string& instance, std::optional<double> per_s) {
   auto outcomes = quotas.LimitUpstream(instance, per_s, MonotonicMs());
-  // Not from within an exchange's own call.
+  // Deferred, as this may run within a call from an exchange.
   boost::asio::post(io, [self = shared_from_this(), outcomes = std::move(outcomes)] {
     self->DeliverQuotaOutcomes(outcomes);
     self->SendQuotaMessages();
@@ -470,7 +470,7 @@
   impl_->quotas.SetOrganisations(organisations.all(), configuration.version, MonotonicMs());
   impl_->routes = std::make_shared<const RouteTable>(std::move(configuration));
   if (impl_->waiting_exchanges.empty()) return;
-  // A key may be gone for which a request waits.
+  // The key of a waiting request may have been revoked.
   boost::asio::post(impl_->io, [impl = impl_] { impl->RetryWaiting(); });
 }
 
--- a/src/gateway/gateway_impl.h
+++ b/src/gateway/gateway_impl.h
@@ -1,4 +1,4 @@
-// What the parts of the gateway share.
+// State shared by the parts of the gateway.
 #ifndef JUNCTIONRAIL_GATEWAY_GATEWAY_IMPL_H_
 #define JUNCTIONRAIL_GATEWAY_GATEWAY_IMPL_H_
 
@@ -33,17 +33,18 @@
   void ContinueStop();
 
   void ApplyListing(const UpstreamListing& listing);
-  // Since the reading of the list began on which choices rest; -1: not known.
+  // Time since the read of the current upstream list began; -1: unknown.
   DurationMs ListingAge(TimeMs now) const;
 
-  // Since the configuration is known to have been the newest; -1: it never was.
+  // Time since the configuration was last confirmed as the newest; -1: never confirmed.
   DurationMs ConfigurationAge(TimeMs now) const;
   bool AreKeysCurrent(TimeMs now) const;
 
-  // Requests that wait for a giver's word on their organisation's quota.
+  // Takes from the organisation's quota. If an allocator has to be asked, the exchange is called
+  // back.
   QuotaTaker::Verdict TakeQuota(const std::shared_ptr<internal::Exchange>& exchange,
                                 const std::string& organisation, double amount);
-  // The same for what an upstream that names a limit takes.
+  // Likewise, from the rate limit of an upstream.
   QuotaTaker::Verdict TakeUpstreamQuota(const std::shared_ptr<internal::Exchange>& exchange,
                                         const std::string& instance);
   void AwaitQuotaDecision(const std::shared_ptr<internal::Exchange>& exchange,
@@ -53,7 +54,7 @@
   void DeliverQuotaOutcomes(const std::vector<QuotaTaker::Outcome>& outcomes);
   void SendQuotaMessages();
 
-  // Requests that wait for a model.
+  // Requests that wait for a model, and the order in which they are retried.
   void AddWaiting(const std::shared_ptr<internal::Exchange>& exchange);
   void RemoveWaiting(const std::shared_ptr<internal::Exchange>& exchange);
   void RetryWaiting();
@@ -61,21 +62,23 @@
   static void RetryInOrder(std::vector<std::shared_ptr<internal::Exchange>> all);
   std::vector<UpstreamTable::Waiting> ModelDemands();
   static UpstreamTable::Waiting ToWaiting(const internal::Exchange& exchange, TimeMs since);
-  // A request could not wait for its model; others will ask for it.
+  // The request was refused instead of waiting. Its demand is kept for a few seconds, as its caller
+  // was told to retry.
   void RecordRefusedWait(const internal::Exchange& exchange);
 
-  // What the answer to a request sent to `instance` at `sent_at` says beside its body.
+  // Applies the notice in the response to a request sent to `instance` at `sent_at`.
   void OnUpstreamResponse(const std::string& instance, const internal::UpstreamHead& head,
                           TimeMs sent_at);
 
   void OnUpstreamEnded(const UpstreamEnd& end, std::string_view evidence);
   void AddUpstreamEnd(const UpstreamEnd& end);
   void ReportQuarantined();
-  // Those that wait for an upstream without another suspect, or may be refused now.
+  // Retries waiting suspects: an upstream without another suspect may be available, or they may be
+  // refused now.
   void RetrySuspects();
   void CheckForSuspension();
 
-  // Connections of ours that one upstream may have.
+  // This entry's share of the connections to one upstream; 0: no limit.
   int MaxConnections(const UpstreamRecord& upstream) const;
 
   boost::asio::io_context& io;
@@ -94,13 +97,14 @@
   bool is_quota_send_scheduled = false;
   std::function<void(const QuotaTaker::Message&)> on_quota_message;
   Timer quota_timer;
-  TimeMs configuration_confirmed_at = 0;  // The configuration was the newest then; 0: never known.
+  TimeMs configuration_confirmed_at = 0;  // 0: never confirmed.
   GatewayCounters counters;
   LatencyHistogram first_byte_latency;
   LatencyHistogram listing_age;
-  TimeMs listing_as_of = 0;  // 0: never listed, or by another entry's word.
+  TimeMs listing_as_of = 0;  // 0: no list yet, or taken from another entry.
   std::set<std::shared_ptr<internal::Exchange>> waiting_exchanges;
-  std::vector<UpstreamTable::Waiting> refused_waits;  // Of the last seconds; `since` is when.
+  // Of the last few seconds; `since` is the time of refusal.
+  std::vector<UpstreamTable::Waiting> refused_waits;
   std::set<std::shared_ptr<internal::CallerConnection>> connections;
   std::function<void(const std::string& instance)> on_new_demand;
   std::function<void(const UpstreamEnd&)> on_upstream_end;
@@ -113,7 +117,7 @@
   std::function<void()> on_vm_resumed;
   boost::asio::ip::tcp::acceptor acceptor;
   boost::asio::steady_timer tick_timer;
-  std::set<std::string> changed_instances;  // Instances whose views came since the last wake.
+  std::set<std::string> changed_instances;  // Instances whose views arrived since the last retry.
 };
 
 }  // namespace junctionrail
--- a/src/gateway/upstream_pool.cc
+++ b/src/gateway/upstream_pool.cc
@@ -26,14 +26,14 @@
 using asio::ip::tcp;
 using boost::system::error_code;
 
-// A connection within a region stands within some ms; after one lost packet it
-// would take a second, and another upstream is sooner.
+// Within a region a connection is established in a few milliseconds. After a lost packet it would
+// take a second, and another upstream responds sooner.
 constexpr DurationMs kConnectTimeoutMs = 500;
-// The kernel gives an upstream up that acknowledges nothing for so long.
+// TCP_USER_TIMEOUT: the kernel drops a connection whose data stays unacknowledged for this long.
 constexpr unsigned kUserTimeoutMs = 4000;
-// Kept without word of the upstream's own limit.
+// For upstreams that do not state their own idle timeout, and the maximum for all.
 constexpr DurationMs kDefaultIdleTimeoutMs = 4000;
-// Before the upstream's own limit, so that it never closes under a request.
+// Closed this much before the upstream's own timeout, so that it does not close during a request.
 constexpr DurationMs kIdleMarginMs = 700;
 constexpr std::size_t kMaxIdleConnections = 16;
 constexpr std::size_t kReadBytes = 8 << 10;
@@ -58,7 +58,7 @@
       : io_(io), request_id_field_(std::move(request_id_field)) {}
 
   struct Upstream {
-    std::deque<std::shared_ptr<Connection>> idle;  // The last used at the back.
+    std::deque<std::shared_ptr<Connection>> idle;  // Most recently used at the back.
     int open = 0;
   };
 
@@ -102,8 +102,8 @@
     }
   }
 
-  // By a reset, as an upstream that has not read the request yet then never
-  // does: one that was paused would begin on it long after its caller has left.
+  // Resets the connection, which discards a request that the upstream has not read yet. A suspended
+  // upstream would otherwise start on it long after its caller has disconnected.
   void Cancel() override {
     listener_ = nullptr;
     error_code ec;
@@ -116,7 +116,7 @@
     if (!is_paused && !is_reading_ && listener_ != nullptr && is_connected_) Read();
   }
 
-  // Whether the far end has neither closed nor sent what nobody asked for.
+  // Whether the upstream has neither closed the connection nor sent unrequested data.
   bool IsCleanlyIdle() {
     error_code ec;
     char byte = 0;
@@ -143,7 +143,7 @@
     timer_.expires_after(std::chrono::milliseconds(kConnectTimeoutMs));
     timer_.async_wait([self = shared_from_this(), use = generation_](error_code timer_ec) {
       if (timer_ec || !self->IsCurrent(use) || self->is_connected_) return;
-      self->Fail(UpstreamFailure::kNoConnection, "no connection in time");
+      self->Fail(UpstreamFailure::kNoConnection, "connect timeout");
     });
     socket_.async_connect(tcp::endpoint(address, endpoint_.port),
                           [self = shared_from_this(), use = generation_](error_code connect_ec) {
@@ -165,7 +165,8 @@
   }
 
   void Send() {
-    if (!listener_->MaySend()) return Fail(UpstreamFailure::kWithheld, "no longer wanted there");
+    if (!listener_->MaySend())
+      return Fail(UpstreamFailure::kWithheld, "withdrawn before it was sent");
     parser_.reset();
     const std::array<asio::const_buffer, 2> parts = {asio::buffer(message_.head),
                                                      asio::buffer(*message_.body)};
@@ -200,7 +201,8 @@
 
   void OnEof() {
     const bool ends_by_close = parser_ && parser_->is_header_done() && parser_->need_eof();
-    if (!ends_by_close) return Fail(UpstreamFailure::kBroken, "closed before the answer's end");
+    if (!ends_by_close)
+      return Fail(UpstreamFailure::kBroken, "closed before the end of the response");
     error_code ec;
     parser_->put_eof(ec);
     if (ec) return Fail(UpstreamFailure::kBroken, ec.message());
@@ -225,14 +227,13 @@
       const std::size_t n = parser_->put(buffer_.data(), ec);
       buffer_.consume(n);
       if (ec && ec != http::error::need_more) {
-        return Fail(UpstreamFailure::kBroken, "not an answer: " + ec.message());
+        return Fail(UpstreamFailure::kBroken, "malformed response: " + ec.message());
       }
       if (parser_->is_header_done()) DeliverProgress();
       if (!IsCurrent(use)) return;
       if (parser_->is_done()) {
         if (is_matching_response_) return Finish(true);
-        // Ours comes next: this was an interim answer, or a late one to the
-        // request before.
+        // An interim response, or a late one to an earlier request; the matching one follows.
         if (parser_->get().result_int() >= 200) {
           ++pool_->counters_.surplus_responses;
           has_surplus_response_ = true;
@@ -245,13 +246,13 @@
     Read();
   }
 
-  // Tells the listener of the head, and of the body as far as it has come.
+  // Passes the head and the received part of the body to the listener.
   void DeliverProgress() {
     const std::uint64_t use = generation_;
     if (!is_head_delivered_) {
       is_head_delivered_ = true;
       UpstreamHead head{parser_->get().result_int(), FieldsOf(*parser_)};
-      // 1xx heads announce another one.
+      // Another head follows a 1xx one.
       const std::string* id = FindField(head.fields, pool_->request_id_field_);
       is_matching_response_ = head.status >= 200 && id != nullptr && *id == message_.request_id;
       ReadKeepAlive(head);
@@ -312,16 +313,16 @@
   std::optional<Parser> parser_;
   UpstreamMessage message_;
   std::shared_ptr<UpstreamListener> listener_;
-  std::uint64_t generation_ = 0;  // Requests begun; handlers of an earlier one do nothing.
+  std::uint64_t generation_ = 0;  // Number of requests begun; handlers of earlier ones do nothing.
   DurationMs idle_timeout_ms_ = kDefaultIdleTimeoutMs;
   TimeMs idle_until_ = 0;
   bool is_connected_ = false;
   bool is_reading_ = false;
   bool is_paused_ = false;
   bool has_sent_all_ = false;
-  bool is_matching_response_ = false;  // The answer that is being read is to our request.
+  bool is_matching_response_ = false;  // The response being read is to the current request.
   bool is_head_delivered_ = false;
-  bool has_surplus_response_ = false;  // Surplus bytes were seen; never used again.
+  bool has_surplus_response_ = false;  // An unrequested response was received; not reused.
 };
 
 std::shared_ptr<UpstreamPool::Connection> UpstreamPool::Impl::TakeIdle(const std::string& instance,
@@ -349,7 +350,7 @@
         max_connections > 0 && impl_->upstreams_[upstream.instance].open >= max_connections;
     if (is_full) {
       asio::post(impl_->io_, [listener = std::move(listener)] {
-        listener->OnFailed(UpstreamFailure::kNoConnection, "as many connections as allowed");
+        listener->OnFailed(UpstreamFailure::kNoConnection, "connection limit reached");
       });
       return nullptr;
     }
--- a/src/gateway/upstream_pool.h
+++ b/src/gateway/upstream_pool.h
@@ -1,6 +1,5 @@
-// Connections to upstreams, each used for one request at a time and kept for
-// the next. An answer is matched to its request by id, since a faulty upstream
-// may send one more answer than it was asked for.
+// Pool of persistent connections to upstreams, without pipelining. A response is matched to its
+// request by request id, as a faulty upstream may send a response that was not requested.
 #ifndef JUNCTIONRAIL_GATEWAY_UPSTREAM_POOL_H_
 #define JUNCTIONRAIL_GATEWAY_UPSTREAM_POOL_H_
 
@@ -17,8 +16,8 @@
 namespace junctionrail::internal {
 
 enum class UpstreamFailure {
-  kNoConnection,  // Not one byte was sent.
-  kWithheld,      // Not one byte was sent, as the listener asked.
+  kNoConnection,  // Nothing was sent.
+  kWithheld,      // Nothing was sent, as the listener asked.
   kBroken,        // Closed, reset or malformed after the request was sent.
 };
 
@@ -27,12 +26,12 @@
   std::vector<HttpHeader> fields;
 };
 
-// What becomes of one call. After OnEnd or OnFailed nothing more is called.
+// Receives the progress of a call. OnEnd or OnFailed is the last callback.
 class UpstreamListener {
  public:
   virtual ~UpstreamListener() = default;
-  // Asked once the connection stands, which may take half a second: whether the
-  // request is still to be sent there.
+  // Called once the connection is established, which may take 500 ms: whether to still send the
+  // request.
   virtual bool MaySend() = 0;
   virtual void OnHead(UpstreamHead head) = 0;
   virtual void OnBody(std::string_view data) = 0;
@@ -41,19 +40,18 @@
 };
 
 struct UpstreamMessage {
-  std::string head;  // With the blank line.
+  std::string head;  // Including the blank line.
   std::shared_ptr<const std::string> body;
   std::string request_id;
-  bool is_head_method = false;  // The answer has no body.
+  bool is_head_method = false;  // The response has no body.
 };
 
 class UpstreamCall {
  public:
   virtual ~UpstreamCall() = default;
-  // Closes the connection, which tells the upstream to stop. The listener is
-  // not called any more.
+  // Resets the connection, which tells the upstream to stop. The listener is not called again.
   virtual void Cancel() = 0;
-  // Stops or resumes reading the answer.
+  // Pauses or resumes reading the response.
   virtual void Pause(bool is_paused) = 0;
 };
 
@@ -67,12 +65,12 @@
   UpstreamPool(boost::asio::io_context& io, std::string request_id_field);
   ~UpstreamPool();
 
-  // Never calls the listener before it returns.
+  // Does not call the listener before returning.
   std::shared_ptr<UpstreamCall> Start(const UpstreamRecord& upstream, int max_connections,
                                       UpstreamMessage message,
                                       std::shared_ptr<UpstreamListener> listener);
-  // Closes connections that have rested too long, and those to instances that
-  // are not among `known`.
+  // Closes connections that have been idle for too long, were closed by the upstream, or lead to
+  // instances for which `is_known` is false.
   void CloseIdle(TimeMs now, const std::function<bool(const std::string&)>& is_known);
   void CloseAll();
 
