--- a/test/gateway_keys_test.cc
+++ b/test/gateway_keys_test.cc
@@ -1,5 +1,5 @@
-// Keys and quotas at the gateway, over real sockets: who is let in, and what upstreams get
-// to see of it.
+// Keys and quotas at the gateway, over loopback sockets: which requests are admitted and what
+// upstreams receive.
 #include "check.h"
 #include "gateway_fixture.h"
 
@@ -26,8 +26,8 @@
   return options;
 }
 
-// Two organisations, "shop" with the key "secret", before one plain upstream and one engine
-// that holds no model.
+// Two organisations, "shop" with the key "secret" and "other" with the key "theirs", in front of
+// one plain upstream and one engine without a loaded model.
 struct KeysFixture : GatewayFixture {
   explicit KeysFixture(GatewayOptions options = {}) : GatewayFixture(std::move(options)) {
     AddUpstream("e1", "engine", [](const SeenRequest&, const Peer&) {});
@@ -66,16 +66,17 @@
 
 TEST_GROUP(GatewayKeys){};
 
-TEST(GatewayKeys, AreAskedForAndGoNoFurtherThanTheOrganisation) {
+TEST(GatewayKeys, ForwardsOrganisationInsteadOfKey) {
   KeysFixture fixture;
   const std::string answer = fixture.Fetch(
       MakeRequest("GET /a/", "jUnctionrail-kEy: secret\r\nJunctionrail-Organisation: other\r\n"));
   EXPECT_TRUE(Contains(answer, "200 OK"), answer);
-  EXPECT_TEXT("shop", fixture.Last().Field("Junctionrail-Organisation"), "as found, not as told");
+  EXPECT_TEXT("shop", fixture.Last().Field("Junctionrail-Organisation"),
+              "by the key, not as the caller claims");
   EXPECT_TRUE(!Contains(fixture.Last().head, "secret"), "got " + fixture.Last().head);
 }
 
-TEST(GatewayKeys, ThatAreMissingUnknownOrRepeatedAreTurnedAwayUnrun) {
+TEST(GatewayKeys, RefusesMissingUnknownAndRepeatedKeys) {
   KeysFixture fixture;
   const auto expect = [&](const std::string& fields, const std::string& status,
                           const std::string& code) {
@@ -83,58 +84,61 @@
     EXPECT_TRUE(
         Contains(answer, status) && Contains(answer, code) && Contains(answer, "\"ran\":\"no\""),
         answer);
-    EXPECT_TRUE(!Contains(answer, "shop") && !Contains(answer, "secret"), "it tells of no key");
+    EXPECT_TRUE(!Contains(answer, "shop") && !Contains(answer, "secret"),
+                "the response reveals neither key nor organisation");
   };
   expect("", "401 ", "no_key");
   expect("Junctionrail-Key:\r\n", "401 ", "no_key");
   expect("Junctionrail-Key: secre\r\n", "401 ", "unknown_key");
   expect("Junctionrail-Key: " + std::string(8000, 'x') + "\r\n", "401 ", "unknown_key");
   expect("Junctionrail-Key: secret\r\nJunctionrail-Key: theirs\r\n", "400 ", "repeated_key");
-  EXPECT_NUMBER(0, fixture.Seen(), "requests that an upstream saw");
+  EXPECT_NUMBER(0, fixture.Seen(), "requests received by an upstream");
 }
 
-TEST(GatewayKeys, AreNotNeededOnAPublicRoute) {
+TEST(GatewayKeys, RequiresNoKeyOnPublicRoute) {
   KeysFixture fixture;
-  EXPECT_TRUE(Contains(fixture.Fetch(MakeRequest("GET /open/")), "200 OK"), "without one");
-  EXPECT_TEXT("(none)", fixture.Last().Field("Junctionrail-Organisation"), "nobody's");
+  EXPECT_TRUE(Contains(fixture.Fetch(MakeRequest("GET /open/")), "200 OK"), "without a key");
+  EXPECT_TEXT("(none)", fixture.Last().Field("Junctionrail-Organisation"),
+              "no organisation without a key");
   const std::string answer = fixture.Fetch(
       MakeRequest("GET /open/", "Junctionrail-Key: x\r\nJunctionrail-Organisation: shop\r\n"));
-  EXPECT_TRUE(Contains(answer, "200 OK"), "with one that nobody holds");
+  EXPECT_TRUE(Contains(answer, "200 OK"), "with an unknown key");
   EXPECT_TEXT("(none)", fixture.Last().Field("Junctionrail-Organisation"),
-              "the caller's word is none");
-  EXPECT_TEXT("(none)", fixture.Last().Field("Junctionrail-Key"), "nor does its key go on");
+              "the caller's claim is dropped");
+  EXPECT_TEXT("(none)", fixture.Last().Field("Junctionrail-Key"), "its key is not forwarded");
   fixture.Fetch(MakeRequest("GET /open/", kKey));
-  EXPECT_TEXT("shop", fixture.Last().Field("Junctionrail-Organisation"), "with one that is known");
+  EXPECT_TEXT("shop", fixture.Last().Field("Junctionrail-Organisation"), "with a known key");
 }
 
-TEST(GatewayKeys, ThatAreTakenAwayEndAWaitAtOnce) {
+TEST(GatewayKeys, EndsWaitWhenKeyIsRevoked) {
   KeysFixture fixture;
   TestCaller caller(fixture.io, fixture.port);
   caller.Send(MakeRequest("GET /m/", std::string(kKey) + "Junctionrail-Model: m1\r\n"));
   RunFor(fixture.io, 100);
-  EXPECT_TEXT("", caller.received(), "it waits for its model");
+  EXPECT_TEXT("", caller.received(), "the request waits for its model");
   fixture.shop.keys.clear();
   fixture.Configure(2);
   EXPECT_TRUE(caller.AwaitText("unknown_key"), caller.received());
 }
 
-TEST(GatewayKeys, AreNotTrustedByAConfigurationThatNobodyHasConfirmedInTime) {
+TEST(GatewayKeys, RefusesKeysWithoutRecentlyConfirmedConfiguration) {
   KeysFixture fixture(WithKeyRevocation(1000));
   const std::string before = fixture.Fetch(MakeRequest("GET /a/", kKey));
   EXPECT_TRUE(Contains(before, "503 ") && Contains(before, "old_configuration") &&
                   Contains(before, "\"ran\":\"no\"") && Contains(before, "Retry-After"),
               before);
-  EXPECT_TRUE(Contains(fixture.Fetch(MakeRequest("GET /open/")), "200 OK"), "no key, no doubt");
+  EXPECT_TRUE(Contains(fixture.Fetch(MakeRequest("GET /open/")), "200 OK"),
+              "the public route needs no key");
   fixture.gateway->ConfirmConfiguration(MonotonicMs());
   EXPECT_TRUE(Contains(fixture.Fetch(MakeRequest("GET /a/", kKey)), "200 OK"),
               "confirmed just now");
   RunFor(fixture.io, 700);
   EXPECT_TRUE(Contains(fixture.Fetch(MakeRequest("GET /a/", kKey)), "old_configuration"),
-              "less than the bound, as a request needs time to get to an upstream");
+              "refused before the bound, as the request still takes time to reach the upstream");
 }
 
-TEST(GatewayKeys, AreLookedAtAgainOnceTheConnectionStands) {
-  // The way to the upstream takes long, and the key goes meanwhile.
+TEST(GatewayKeys, ChecksKeyAgainAfterConnect) {
+  // The key is revoked while the connection to the upstream is being opened.
   KeysFixture fixture;
   fixture.Fetch(MakeRequest("GET /a/", kKey));
   const std::size_t seen = fixture.Seen();
@@ -145,14 +149,14 @@
   fixture.Configure(2);
   caller.AwaitEnd();
   const bool was_refused = Contains(caller.received(), "unknown_key");
-  EXPECT_TRUE(was_refused == (fixture.Seen() == seen), "refused where it was not sent");
+  EXPECT_TRUE(was_refused == (fixture.Seen() == seen), "refused if and only if it was not sent");
 }
 
 TEST_GROUP(GatewayQuotas){};
 
 namespace {
 
-// A fixture whose organisation "shop" has a limit, and a giver that a test answers for.
+// The organisation "shop" has a quota; the test replies in place of the allocator.
 struct QuotaFixture : KeysFixture {
   QuotaFixture() {
     shop.quota.per_s = 10;
@@ -181,16 +185,17 @@
 
 }  // namespace
 
-TEST(GatewayQuotas, CountTheTokensOfEachRequestOnce) {
+TEST(GatewayQuotas, CountsTokensOfEachRequestOnce) {
   QuotaFixture fixture;
   EXPECT_TRUE(Contains(fixture.Fetch(MakeRequest("GET /a/", kKey)), "200 OK"), "granted");
-  EXPECT_NUMBER(200, fixture.asks.at(0).wants.at(0).amounts.at(0), "it names no tokens");
+  EXPECT_NUMBER(200, fixture.asks.at(0).wants.at(0).amounts.at(0),
+                "the default for a request without token usage");
   fixture.Fetch(
       MakeRequest("GET /a/", std::string(kKey) + "Junctionrail-Token-Usage: 1460, 80\r\n"));
-  EXPECT_NUMBER(1540, fixture.asks.at(1).wants.at(0).amounts.at(0), "the sum of both");
+  EXPECT_NUMBER(1540, fixture.asks.at(1).wants.at(0).amounts.at(0), "the sum of both numbers");
 }
 
-TEST(GatewayQuotas, RefuseWithTheTimeToComeBackAndWithoutAQuestionTheNextTime) {
+TEST(GatewayQuotas, RefusesWithRetryAfterAndDoesNotAskAgain) {
   QuotaFixture fixture;
   fixture.is_granted = false;
   const std::string answer = fixture.Fetch(MakeRequest("GET /a/", kKey));
@@ -198,12 +203,12 @@
                   Contains(answer, "Retry-After: 3.400") && Contains(answer, "\"ran\":\"no\""),
               answer);
   const std::string next = fixture.Fetch(MakeRequest("GET /m/", kKey));
-  EXPECT_TRUE(Contains(next, "429 "), "one that would wait for its model is told at once: " + next);
-  EXPECT_NUMBER(1, fixture.asks.size(), "questions");
-  EXPECT_NUMBER(0, fixture.Seen(), "requests that an upstream saw");
+  EXPECT_TRUE(Contains(next, "429 "), "refused at once instead of waiting for its model: " + next);
+  EXPECT_NUMBER(1, fixture.asks.size(), "requests to the allocator");
+  EXPECT_NUMBER(0, fixture.Seen(), "requests received by an upstream");
 }
 
-TEST(GatewayQuotas, LeaveOtherOrganisationsAlone) {
+TEST(GatewayQuotas, DoesNotAffectOtherOrganisations) {
   QuotaFixture fixture;
   fixture.is_granted = false;
   fixture.Fetch(MakeRequest("GET /a/", kKey));
@@ -211,21 +216,21 @@
   EXPECT_TRUE(Contains(answer, "200 OK"), answer);
 }
 
-TEST(GatewayQuotas, DoNotHoldARequestUpForLongWhereTheGiverIsSilent) {
+TEST(GatewayQuotas, RefusesWhenAllocatorDoesNotRespond) {
   QuotaFixture fixture;
   fixture.answers = false;
   const std::string answer = fixture.Fetch(MakeRequest("GET /a/", kKey));
   EXPECT_TRUE(Contains(answer, "503 ") && Contains(answer, "quota_unknown"), answer);
 }
 
-TEST(GatewayQuotas, NeedTokensThatCanBeRead) {
+TEST(GatewayQuotas, RejectsMalformedTokenUsage) {
   QuotaFixture fixture;
   for (const char* it : {"7", "1,2,3", "-1,5", "1,x", "99999999999999999999,1", ","}) {
     const std::string answer = fixture.Fetch(
         MakeRequest("GET /a/", std::string(kKey) + "Junctionrail-Token-Usage: " + it + "\r\n"));
     EXPECT_TRUE(Contains(answer, "400 ") && Contains(answer, "bad_token_usage"), answer);
   }
-  EXPECT_NUMBER(0, fixture.Seen(), "requests that an upstream saw");
+  EXPECT_NUMBER(0, fixture.Seen(), "requests received by an upstream");
 }
 
 }  // namespace junctionrail
--- a/test/gateway_test.cc
+++ b/test/gateway_test.cc
@@ -1,5 +1,4 @@
-// The direct path over real sockets: a caller, the gateway, and upstreams
-// whose every byte a test decides.
+// The gateway between a caller and scripted upstreams, over loopback sockets.
 #include "junctionrail/gateway.h"
 
 #include <unistd.h>
@@ -32,9 +31,9 @@
 
 }  // namespace
 
-TEST_GROUP(GatewayServes){};
+TEST_GROUP(GatewayRelay){};
 
-TEST(GatewayServes, PassesARequestAndItsAnswerOnUnchanged) {
+TEST(GatewayRelay, RelaysRequestAndResponseUnchanged) {
   Fixture fixture;
   fixture.AddUpstream("u1", "plain", [](const SeenRequest&, const Peer& peer) {
     peer->Write(OkResponse("hello"));
@@ -42,23 +41,24 @@
   fixture.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
   const std::string answer = fixture.Fetch(MakeRequest("POST /a/b?q=1", "X-Own: v\r\n", "body"));
   EXPECT_TRUE(Contains(answer, "200 OK") && Contains(answer, "hello"), answer);
-  EXPECT_TRUE(Contains(answer, "Junctionrail-Proof: p"), "the upstream's fields go on");
+  EXPECT_TRUE(Contains(answer, "Junctionrail-Proof: p"),
+              "the upstream's header fields are relayed");
   const SeenRequest& seen = fixture.upstreams[0]->seen().at(0);
-  EXPECT_TEXT("POST /a/b?q=1 HTTP/1.1", seen.Line(), "method and target go on unchanged");
-  EXPECT_TEXT("body", seen.body, "so does the body");
-  EXPECT_TEXT("v", seen.Field("X-Own"), "and fields of the caller's own");
-  EXPECT_TEXT("u1", seen.Field("Junctionrail-Expected-Instance"), "the upstream meant is named");
+  EXPECT_TEXT("POST /a/b?q=1 HTTP/1.1", seen.Line(), "method and target are relayed unchanged");
+  EXPECT_TEXT("body", seen.body, "the body is relayed");
+  EXPECT_TEXT("v", seen.Field("X-Own"), "the caller's header fields are relayed");
+  EXPECT_TEXT("u1", seen.Field("Junctionrail-Expected-Instance"), "the expected instance is set");
 }
 
-TEST(GatewayServes, AnswersUnavailableBeforeAConfigurationIsKnownAndNotFoundAfter) {
+TEST(GatewayRelay, Returns503WithoutConfigurationAnd404WithoutRoute) {
   Fixture fixture;
-  EXPECT_TRUE(Contains(fixture.Fetch(MakeRequest("GET /a/b")), "503 "), "nothing is known yet");
+  EXPECT_TRUE(Contains(fixture.Fetch(MakeRequest("GET /a/b")), "503 "), "no configuration yet");
   fixture.Configure({MakeRoute("/a/", CallKind::kRepeatable, "plain")});
   EXPECT_TRUE(Contains(fixture.Fetch(MakeRequest("GET /other")), "404 "),
-              "no route has this prefix");
+              "no route matches this path");
 }
 
-TEST(GatewayServes, KeepsFieldsThatOnlyTheSystemSetsFromCallers) {
+TEST(GatewayRelay, RemovesReservedFieldsOfCallers) {
   GatewayOptions options;
   options.header_names.reserved = {"Junctionrail-Hold"};
   Fixture fixture(options);
@@ -68,11 +68,12 @@
   fixture.Fetch(
       MakeRequest("GET /a/", "Junctionrail-Hold: 7\r\nJunctionrail-Expected-Instance: u9\r\n"));
   const SeenRequest& seen = fixture.upstreams[0]->seen().at(0);
-  EXPECT_TEXT("(none)", seen.Field("Junctionrail-Hold"), "a reserved field is dropped");
-  EXPECT_TEXT("u1", seen.Field("Junctionrail-Expected-Instance"), "a forged one is replaced");
+  EXPECT_TEXT("(none)", seen.Field("Junctionrail-Hold"), "a reserved field is removed");
+  EXPECT_TEXT("u1", seen.Field("Junctionrail-Expected-Instance"),
+              "a forged expected instance is replaced");
 }
 
-TEST(GatewayServes, PassesEventsOnAsTheyCome) {
+TEST(GatewayRelay, RelaysEventsAsTheyArrive) {
   Fixture fixture;
   Peer stream;
   fixture.AddUpstream("u1", "engine", [&](const SeenRequest&, const Peer& peer) {
@@ -82,14 +83,14 @@
   fixture.Configure({MakeRoute("/s/", CallKind::kStream, "engine")});
   TestCaller caller(fixture.io, fixture.port);
   caller.Send(MakeRequest("POST /s/"));
-  EXPECT_TRUE(caller.AwaitText("id: 1"), "the first event comes before the second is made");
+  EXPECT_TRUE(caller.AwaitText("id: 1"), "the first event arrives before the second is sent");
   stream->Write(EventChunk(2) + "0\r\n\r\n");
   EXPECT_TRUE(caller.AwaitEnd() && Contains(caller.received(), "0\r\n\r\n"), caller.received());
 }
 
 TEST_GROUP(GatewayRetries){};
 
-TEST(GatewayRetries, SendsARepeatableRequestElsewhereAfterAFailure) {
+TEST(GatewayRetries, RetriesRepeatableRequestAfterFailure) {
   Fixture fixture;
   const auto fail = [](const SeenRequest&, const Peer& peer) { peer->Close(); };
   const auto serve = [](const SeenRequest&, const Peer& peer) { peer->Write(OkResponse("ok")); };
@@ -100,12 +101,11 @@
   fixture.AddUpstream("u1", "plain", script);
   fixture.AddUpstream("u2", "plain", script);
   fixture.Configure({MakeRoute("/a/", CallKind::kRepeatable, "plain")});
-  EXPECT_TRUE(Contains(fixture.Fetch(MakeRequest("GET /a/")), "200 OK"),
-              "the second upstream served it");
-  EXPECT_NUMBER(2, calls, "one failure, one answer");
+  EXPECT_TRUE(Contains(fixture.Fetch(MakeRequest("GET /a/")), "200 OK"), "the retry succeeds");
+  EXPECT_NUMBER(2, calls, "one failed and one successful attempt");
 }
 
-TEST(GatewayRetries, NeverSendsAnAtMostOnceRequestTwiceAndSaysThatItMayHaveRun) {
+TEST(GatewayRetries, DoesNotRetryAtMostOnceRequestAndReportsUnknownOutcome) {
   Fixture fixture;
   int calls = 0;
   const auto script = [&](const SeenRequest&, const Peer& peer) {
@@ -117,10 +117,10 @@
   fixture.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
   const std::string answer = fixture.Fetch(MakeRequest("POST /a/", "", "order"));
   EXPECT_TRUE(Contains(answer, "502 ") && Contains(answer, "\"ran\":\"unknown\""), answer);
-  EXPECT_NUMBER(1, calls, "it was sent once");
+  EXPECT_NUMBER(1, calls, "attempts");
 }
 
-TEST(GatewayRetries, SendsAnAtMostOnceRequestElsewhereWhenTheUpstreamSaysItDidNotRun) {
+TEST(GatewayRetries, RetriesAtMostOnceRequestThatDidNotRun) {
   Fixture fixture;
   int calls = 0;
   const auto script = [&](const SeenRequest&, const Peer& peer) {
@@ -133,11 +133,11 @@
   fixture.AddUpstream("u2", "plain", script);
   fixture.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
   EXPECT_TRUE(Contains(fixture.Fetch(MakeRequest("POST /a/", "", "order")), "200 OK"),
-              "served elsewhere");
+              "the retry succeeds");
 }
 
-TEST(GatewayRetries, TurnsAnUpstreamsBareUnavailableIntoOutcomeUnknown) {
-  // Without the upstream's own word a 503 would promise what nobody knows.
+TEST(GatewayRetries, ReportsUnknownOutcomeFor503WithoutNotRunHeader) {
+  // A 503 implies that the request did not run, which only the upstream's header can confirm.
   Fixture fixture;
   fixture.AddUpstream("u1", "plain", [](const SeenRequest&, const Peer& peer) {
     peer->Write(
@@ -149,9 +149,9 @@
   EXPECT_TRUE(Contains(answer, "502 ") && !Contains(answer, "Junctionrail-Proof"), answer);
 }
 
-TEST(GatewayRetries, LeaveASilentUpstreamItsTimeWhenTheBudgetIsSpent) {
-  // with the budget spent, 100 requests were taken from
-  // slow engines and answered 502 in place of being left there.
+TEST(GatewayRetries, WaitsForSilentUpstreamWhenBudgetIsSpent) {
+  // With the retry budget spent, the gateway cancelled requests at slow engines and answered 502
+  // instead of waiting for them.
   Fixture fixture({}, {0, 0, 10000});
   Timer timer(fixture.io);
   int calls = 0;
@@ -166,10 +166,10 @@
   fixture.Configure({route});
   const std::string answer = fixture.Fetch(MakeRequest("GET /a/"));
   EXPECT_TRUE(Contains(answer, "200 OK") && Contains(answer, "late"), answer);
-  EXPECT_NUMBER(1, calls, "the one attempt");
+  EXPECT_NUMBER(1, calls, "attempts");
 }
 
-TEST(GatewayRetries, ResumesAStreamAfterItsLastWholeEvent) {
+TEST(GatewayRetries, ResumesStreamAfterLastCompleteEvent) {
   Fixture fixture;
   int calls = 0;
   const auto script = [&](const SeenRequest& request, const Peer& peer) {
@@ -177,7 +177,7 @@
       peer->Write(EventStreamHead() + EventChunk(1) + EventChunk(2) + "9\r\nid: 3\ndat\r\n");
       return peer->Close();
     }
-    EXPECT_TEXT("2", request.Field("Last-Event-ID"), "the last whole event is named");
+    EXPECT_TEXT("2", request.Field("Last-Event-ID"), "the last complete event is named");
     peer->Write(EventStreamHead() + EventChunk(3) + "0\r\n\r\n");
   };
   fixture.AddUpstream("u1", "engine", script);
@@ -187,11 +187,11 @@
   fixture.Configure({route});
   const std::string answer = fixture.Fetch(MakeRequest("POST /s/"));
   EXPECT_TRUE(Contains(answer, "id: 2\n") && Contains(answer, "id: 3\ndata: x\n\n"), answer);
-  EXPECT_TRUE(Contains(answer, "0\r\n\r\n"), "the whole stream ends as complete");
-  EXPECT_TRUE(answer.find("id: 3") == answer.rfind("id: 3"), "the torn event is not passed on");
+  EXPECT_TRUE(Contains(answer, "0\r\n\r\n"), "the stream ends with the last chunk");
+  EXPECT_TRUE(answer.find("id: 3") == answer.rfind("id: 3"), "the partial event is not relayed");
 }
 
-TEST(GatewayRetries, CutsAStreamThatMayNotBeResumedSoThatItDoesNotLookComplete) {
+TEST(GatewayRetries, AbortsNonResumableStreamWithoutLastChunk) {
   Fixture fixture;
   fixture.AddUpstream("u1", "engine", [](const SeenRequest&, const Peer& peer) {
     peer->Write(EventStreamHead() + EventChunk(1));
@@ -203,9 +203,9 @@
   EXPECT_TRUE(!Contains(answer, "0\r\n\r\n"), "no last chunk");
 }
 
-TEST_GROUP(GatewayMatches){};
+TEST_GROUP(GatewayResponseMatching){};
 
-TEST(GatewayMatches, PassesOverALateAnswerToTheRequestBefore) {
+TEST(GatewayResponseMatching, IgnoresLateResponseToPreviousRequest) {
   Fixture fixture;
   fixture.AddUpstream("u1", "plain", [](const SeenRequest& request, const Peer& peer) {
     const std::string id = request.Field("Junctionrail-Request-Id");
@@ -218,12 +218,12 @@
   EXPECT_TRUE(caller.AwaitText("one"), "the first answer");
   caller.Forget();
   caller.Send(MakeKeepAliveRequest("GET /a/", "second"));
-  EXPECT_TRUE(caller.AwaitText("two"), "the second request gets its own answer");
+  EXPECT_TRUE(caller.AwaitText("two"), "the second request gets its own response");
   EXPECT_TRUE(!Contains(caller.received(), "one"), caller.received());
-  EXPECT_NUMBER(1, fixture.gateway->counters().surplus_responses, "and the late one is counted");
+  EXPECT_NUMBER(1, fixture.gateway->counters().surplus_responses, "late responses counted");
 }
 
-TEST(GatewayMatches, NeverUsesAConnectionAgainOnWhichSurplusBytesCame) {
+TEST(GatewayResponseMatching, DoesNotReuseConnectionWithSurplusBytes) {
   Fixture fixture;
   fixture.AddUpstream("u1", "plain", [](const SeenRequest& request, const Peer& peer) {
     const std::string id = request.Field("Junctionrail-Request-Id");
@@ -236,11 +236,11 @@
   caller.Send(MakeKeepAliveRequest("GET /a/", "second"));
   RunUntil(fixture.io, [&] { return fixture.upstreams[0]->seen().size() == 2; });
   EXPECT_NUMBER(2, fixture.upstreams[0]->connections(),
-                "the second request has its own connection");
+                "connections: a new one for the second request");
   EXPECT_TRUE(!Contains(caller.received(), "surplus"), caller.received());
 }
 
-TEST(GatewayMatches, TakesAnAnswerWithoutLengthAsWholeOnlyWhenItsConnectionIsClosed) {
+TEST(GatewayResponseMatching, AcceptsResponseWithoutLengthOnlyAtOrderlyClose) {
   Fixture fixture;
   bool is_reset = false;
   fixture.AddUpstream("u1", "plain", [&](const SeenRequest&, const Peer& peer) {
@@ -250,15 +250,15 @@
   });
   fixture.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
   EXPECT_TRUE(Contains(fixture.Fetch(MakeRequest("GET /a/")), "Content-Length: 3"),
-              "closed: whole");
+              "complete after an orderly close");
   is_reset = true;
   EXPECT_TRUE(Contains(fixture.Fetch(MakeRequest("GET /a/")), "502 "),
-              "reset: not known to be whole");
+              "possibly incomplete after a reset");
 }
 
-TEST_GROUP(GatewayRejects){};
+TEST_GROUP(GatewayRequestValidation){};
 
-TEST(GatewayRejects, RequestsWhoseLengthTwoReadersMayUnderstandDifferently) {
+TEST(GatewayRequestValidation, RejectsAmbiguousFraming) {
   Fixture fixture;
   fixture.AddUpstream("u1", "plain",
                       [](const SeenRequest&, const Peer& peer) { peer->Write(OkResponse("")); });
@@ -271,22 +271,22 @@
         fixture.Fetch(MakeRequest("POST /a/", fields) + "0\r\n\r\nGET /a/ HTTP/1.1\r\n");
     EXPECT_TRUE(Contains(answer, "400 "), fields + " got " + answer);
   }
-  EXPECT_NUMBER(0, fixture.upstreams[0]->seen().size(), "nothing reached the upstream");
+  EXPECT_NUMBER(0, fixture.upstreams[0]->seen().size(), "requests received by the upstream");
 }
 
-TEST(GatewayRejects, HeadsAndBodiesOverTheLimits) {
+TEST(GatewayRequestValidation, RejectsOversizedHeadsAndBodies) {
   Fixture fixture;
   fixture.limits.max_header_bytes = 512;
   fixture.limits.max_body_bytes = 16;
   fixture.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
   const std::string long_field = "X-Long: " + std::string(600, 'x') + "\r\n";
   EXPECT_TRUE(Contains(fixture.Fetch(MakeRequest("GET /a/", long_field)), "431 "),
-              "the head is too long");
+              "the head exceeds its limit");
   EXPECT_TRUE(Contains(fixture.Fetch(MakeRequest("POST /a/", "", std::string(17, 'x'))), "413 "),
-              "the body");
+              "the body exceeds its limit");
 }
 
-TEST(GatewayRejects, HeadsThatTrickleIn) {
+TEST(GatewayRequestValidation, RejectsIncompleteHeadAtTimeout) {
   Fixture fixture;
   fixture.limits.header_timeout_ms = 50;
   fixture.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
@@ -295,11 +295,11 @@
   EXPECT_TRUE(caller.AwaitEnd() && Contains(caller.received(), "408 "), caller.received());
 }
 
-TEST_GROUP(GatewayWaits){};
+TEST_GROUP(GatewayModelWait){};
 
 namespace {
 
-// A fixture with one engine service that knows the models a and b.
+// One engine service with the models a and b.
 struct EngineFixture : Fixture {
   EngineFixture() {
     RoutingConfiguration configuration;
@@ -331,7 +331,7 @@
 
 }  // namespace
 
-TEST(GatewayWaits, UntilTheModelIsUp) {
+TEST(GatewayModelWait, WaitsUntilModelIsLoaded) {
   EngineFixture fixture;
   fixture.AddUpstream("u1", "engine", [](const SeenRequest&, const Peer& peer) {
     peer->Write(EventStreamHead() + EventChunk(1) + "0\r\n\r\n");
@@ -340,31 +340,31 @@
   TestCaller caller(fixture.io, fixture.port);
   caller.Send(ModelRequest("a"));
   EXPECT_TRUE(RunUntil(fixture.io, [&] { return !fixture.Wanted().empty(); }),
-              "the agent is asked");
-  EXPECT_NUMBER(0, fixture.upstreams[0]->seen().size(), "the request waits");
+              "the agent is asked to load the model");
+  EXPECT_NUMBER(0, fixture.upstreams[0]->seen().size(), "requests received by the upstream");
   fixture.Show({{"a", {}}});
-  EXPECT_TRUE(caller.AwaitText("id: 1"), "and is sent when the agent says that it is loaded");
+  EXPECT_TRUE(caller.AwaitText("id: 1"), "sent once the agent reports the model as loaded");
 }
 
-TEST(GatewayWaits, NotWhenTheLoadTakesTooLongAndStillAsksForIt) {
-  // a busy model was asked for 25 times a second for five
-  // seconds, each request was refused, and no agent ever heard of it.
+TEST(GatewayModelWait, RefusesWhenLoadTakesTooLongAndStillRequestsIt) {
+  // Each request for a busy model, 25 a second for five seconds, was refused, and no agent was ever
+  // asked to load it.
   EngineFixture fixture;
   fixture.AddUpstream("u1", "engine", [](const SeenRequest&, const Peer&) {});
   fixture.Show({});
   const std::string answer = fixture.Fetch(ModelRequest("b"));
   EXPECT_TRUE(Contains(answer, "503 ") && Contains(answer, "Retry-After"), answer);
-  EXPECT_NUMBER(1, fixture.Wanted().size(), "the load is still wanted");
+  EXPECT_NUMBER(1, fixture.Wanted().size(), "models that the agent is asked for");
 }
 
-TEST(GatewayWaits, AsLongAsItCanBeServedAndIsRefusedWhenTheEstimateSaysThatItCannot) {
+TEST(GatewayModelWait, RefusesOnceEstimateExceedsRemainingTime) {
   EngineFixture fixture;
   fixture.AddUpstream("u1", "engine", [](const SeenRequest&, const Peer&) {});
   fixture.Show({});
   TestCaller caller(fixture.io, fixture.port);
-  // The load of a takes 0.45 s as estimated, and is never carried out: with 1.2 s
-  // to live it can be served until 0.75 s are over. Timers of one loop run in
-  // the order of their times, however late.
+  // The load of model a is estimated at 0.45 s and never happens. With a deadline of 1.2 s the
+  // request can be served until 0.75 s have passed. Timers of one event loop run in the order of
+  // their expiry, however late.
   caller.Send(
       MakeRequest("POST /s/", "Junctionrail-Model: a\r\nJunctionrail-Deadline-Ms: 1200\r\n"));
   RunUntil(fixture.io, [&] { return fixture.gateway->counters().model_waits == 1; });
@@ -375,17 +375,18 @@
   Timer between(fixture.io);
   between.After(1100, [&] { refused = fixture.gateway->counters().refused; });
   RunUntil(fixture.io, [&] { return refused.has_value(); });
-  EXPECT_NUMBER(0, refused_early.value_or(1), "half of its time is over, and it can be served");
-  EXPECT_NUMBER(1, refused.value_or(0), "the load slipped: refused before its time is over");
+  EXPECT_NUMBER(0, refused_early.value_or(1), "refusals while it can still be served");
+  EXPECT_NUMBER(1, refused.value_or(0),
+                "refusals after the load has become too late, before the deadline");
   EXPECT_TRUE(caller.AwaitEnd() && Contains(caller.received(), "503 "), caller.received());
-  EXPECT_TRUE(Contains(caller.received(), "Retry-After"), "with the time to come back");
+  EXPECT_TRUE(Contains(caller.received(), "Retry-After"), "Retry-After is set");
 }
 
-TEST_GROUP(GatewayCancels){};
+TEST_GROUP(GatewayCancellation){};
 
-TEST(GatewayCancels, ByAResetSoThatAPausedUpstreamNeverBegins) {
-  // An upstream that is paused reads what its kernel holds when it goes on: after
-  // an orderly close that would be a request whose caller left long before.
+TEST(GatewayCancellation, ResetsConnectionToSuspendedUpstream) {
+  // A suspended upstream that resumes reads what its kernel has received: after an orderly close
+  // it would run a request whose caller disconnected long before.
   Fixture fixture;
   fixture.Configure({MakeRoute("/a/", CallKind::kOnce, "plain")});
   tcp::acceptor paused(fixture.io, tcp::endpoint(boost::asio::ip::make_address("127.0.0.1"), 0));
@@ -401,7 +402,8 @@
   tcp::socket socket(fixture.io);
   bool is_accepted = false;
   paused.async_accept(socket, [&](boost::system::error_code) { is_accepted = true; });
-  EXPECT_TRUE(RunUntil(fixture.io, [&] { return is_accepted; }), "the request's connection came");
+  EXPECT_TRUE(RunUntil(fixture.io, [&] { return is_accepted; }),
+              "the gateway connects to the upstream");
   boost::system::error_code ec;
   const auto bytes = [&] { return socket.available(ec); };
   RunUntil(fixture.io, [&] { return bytes() > 0; });
@@ -416,9 +418,9 @@
   EXPECT_TRUE(is_reset, "expected a reset, got " + ec.message());
 }
 
-TEST(GatewayWaits, NeverSaysThatItDidNotRunAfterAnAttemptThatMayHave) {
-  // Found by reading: the refusal of a request that waits for a model did not
-  // ask whether an earlier attempt had been sent.
+TEST(GatewayModelWait, ReportsUnknownOutcomeAfterEarlierAttempt) {
+  // The refusal of a request that waits for a model did not consider whether an earlier attempt had
+  // been sent.
   EngineFixture fixture;
   fixture.AddUpstream("u1", "engine", [&](const SeenRequest&, const Peer& peer) {
     fixture.Show({});
@@ -438,11 +440,11 @@
   EXPECT_TRUE(Contains(answer, "502 ") && Contains(answer, "\"ran\":\"unknown\""), answer);
 }
 
-TEST_GROUP(GatewayLeavesOut){};
+TEST_GROUP(GatewayLeavingUpstreams){};
 
-TEST(GatewayLeavesOut, AnUpstreamThatLeftWhileItWasConnectedTo) {
-  // A connection may take half a second; without a second look the request went to
-  // an upstream that was known to leave.
+TEST(GatewayLeavingUpstreams, SkipsUpstreamThatLeftDuringConnect) {
+  // A connection may take half a second to open. Without a second check the request went to an
+  // upstream that was known to be leaving.
   Fixture fixture;
   const auto answer = [](const SeenRequest&, const Peer& peer) { peer->Write(OkResponse("x")); };
   fixture.AddUpstream("u1", "plain", answer);
@@ -454,12 +456,13 @@
       "");
   fixture.records[0].is_leaving = true;
   fixture.AddUpstream("u2", "plain", answer);
-  EXPECT_TRUE(caller.AwaitText("x"), "the other one answers");
-  EXPECT_NUMBER(0, fixture.upstreams[0]->seen().size(), "it leaves");
-  EXPECT_NUMBER(1, fixture.upstreams[1]->seen().size(), "it was sent nowhere before");
+  EXPECT_TRUE(caller.AwaitText("x"), "the other upstream responds");
+  EXPECT_NUMBER(0, fixture.upstreams[0]->seen().size(),
+                "requests received by the leaving upstream");
+  EXPECT_NUMBER(1, fixture.upstreams[1]->seen().size(), "requests received by the other upstream");
 }
 
-TEST(GatewayLeavesOut, AnUpstreamThatLeftAndSaysThatTheRequestDidNotRun) {
+TEST(GatewayLeavingUpstreams, ReportsNotRunWhenOnlyUpstreamLeftDuringConnect) {
   Fixture fixture;
   fixture.AddUpstream("u1", "plain",
                       [](const SeenRequest&, const Peer& peer) { peer->Write(OkResponse("x")); });
@@ -470,16 +473,17 @@
       RunUntil(fixture.io, [&] { return fixture.gateway->counters().upstream_connections == 1; }),
       "");
   fixture.gateway->ApplyListing({{}, MonotonicMs()});
-  EXPECT_TRUE(caller.AwaitText(R"("ran":"no")"), "it was sent nowhere");
+  EXPECT_TRUE(caller.AwaitText(R"("ran":"no")"), "the request is reported as not run");
   EXPECT_TRUE(Contains(caller.received(), "503"), caller.received());
-  EXPECT_NUMBER(0, fixture.upstreams[0]->seen().size(), "it has gone");
+  EXPECT_NUMBER(0, fixture.upstreams[0]->seen().size(),
+                "requests received by the upstream that left");
 }
 
-TEST_GROUP(GatewayEnds){};
+TEST_GROUP(GatewayConnectionEnd){};
 
-TEST(GatewayEnds, ServesARequestWhoseFirstBytesComeAsTheIdleTimeEnds) {
-  // Both are ready at once when the process gets to them: the bytes come first, and the
-  // idle time that was over is set anew.
+TEST(GatewayConnectionEnd, ServesRequestThatArrivesAtIdleTimeout) {
+  // The received bytes and the expired idle timer are ready at once: the bytes are handled first
+  // and must restart the timer.
   Fixture fixture;
   fixture.limits.idle_timeout_ms = 100;
   fixture.AddUpstream("u1", "plain", [](const SeenRequest&, const Peer& peer) {
@@ -496,9 +500,8 @@
   EXPECT_TRUE(caller.AwaitText("hello"), "got " + caller.received());
 }
 
-TEST(GatewayEnds, SendsNothingForACallerThatLeftBeforeItsRequestWasRead) {
-  // A process without processor time comes to a request and its caller's close at
-  // the same moment.
+TEST(GatewayConnectionEnd, SendsNothingForDisconnectedCaller) {
+  // A process short of processor time finds a request and its caller's close at the same time.
   Fixture fixture;
   fixture.AddUpstream(
       "u1", "plain", [](const SeenRequest&, const Peer& peer) { peer->Write(OkResponse("late")); });
@@ -508,11 +511,12 @@
   caller.Send(MakeRequest("GET /a/2"));
   caller.Close();
   RunFor(fixture.io, 200);
-  EXPECT_NUMBER(1, fixture.upstreams[0]->seen().size(), "a connection stood open to send it on");
+  EXPECT_NUMBER(1, fixture.upstreams[0]->seen().size(),
+                "requests received by the upstream, to which a connection was open");
   EXPECT_NUMBER(1, fixture.gateway->counters().cancelled, "");
 }
 
-TEST(GatewayEnds, TellsTheUpstreamWhenTheCallerHasGone) {
+TEST(GatewayConnectionEnd, ClosesUpstreamConnectionWhenCallerDisconnects) {
   Fixture fixture;
   fixture.AddUpstream("u1", "engine", [](const SeenRequest&, const Peer& peer) {
     peer->Write(EventStreamHead() + EventChunk(1));
@@ -526,7 +530,7 @@
               "the upstream's connection is closed at once");
 }
 
-TEST(GatewayEnds, AnswersAtTheRoutesTimeLimit) {
+TEST(GatewayConnectionEnd, RespondsAtRouteTimeout) {
   Fixture fixture;
   fixture.AddUpstream("u1", "plain", [](const SeenRequest&, const Peer&) {});
   Route route = MakeRoute("/a/", CallKind::kOnce, "plain");
@@ -536,9 +540,8 @@
   EXPECT_TRUE(Contains(answer, "504 ") && Contains(answer, "\"ran\":\"unknown\""), answer);
 }
 
-TEST(GatewayEnds, TakesNoNewConnectionOnceTheBalancerKnowsOfTheStop) {
-  // Found by a drawn day: a request taken 7 s after SIGTERM was given up when
-  // the process ended.
+TEST(GatewayConnectionEnd, AcceptsNoConnectionAfterBalancerDelay) {
+  // A request accepted 7 s after SIGTERM was aborted when the process ended.
   GatewayOptions options;
   options.balancer_delay_ms = 50;
   Fixture fixture(options);
@@ -554,15 +557,15 @@
   bool is_stopped = false;
   fixture.gateway->Stop(60000, [&] { is_stopped = true; });
   TestCaller early(fixture.io, fixture.port);
-  EXPECT_TRUE(early.is_connected(), "the balancer has not noticed yet");
+  EXPECT_TRUE(early.is_connected(), "the load balancer has not noticed the stop yet");
   RunFor(fixture.io, 300);
   TestCaller late(fixture.io, fixture.port);
-  EXPECT_TRUE(!late.is_connected(), "later connections go to other entries");
-  EXPECT_TRUE(!is_stopped, "a stream is still under way");
+  EXPECT_TRUE(!late.is_connected(), "connections after the delay are refused");
+  EXPECT_TRUE(!is_stopped, "the stop waits for the stream in flight");
   stream->Write(EventChunk(2) + "0\r\n\r\n");
-  EXPECT_TRUE(caller.AwaitText("0\r\n\r\n"), "it is finished");
-  EXPECT_TRUE(caller.AwaitEnd(), "and its connection takes no further request");
-  EXPECT_TRUE(RunUntil(fixture.io, [&] { return is_stopped; }), "then the process may end");
+  EXPECT_TRUE(caller.AwaitText("0\r\n\r\n"), "the stream is completed");
+  EXPECT_TRUE(caller.AwaitEnd(), "its connection is closed");
+  EXPECT_TRUE(RunUntil(fixture.io, [&] { return is_stopped; }), "the stop completes");
 }
 
 }  // namespace junctionrail
--- a/test/support/gateway_fixture.h
+++ b/test/support/gateway_fixture.h
@@ -1,4 +1,4 @@
-// A gateway before scripted upstreams, and requests and answers as bytes.
+// A gateway in front of scripted upstreams, and helpers that format requests and responses.
 #ifndef JUNCTIONRAIL_TEST_SUPPORT_GATEWAY_FIXTURE_H_
 #define JUNCTIONRAIL_TEST_SUPPORT_GATEWAY_FIXTURE_H_
 
@@ -27,7 +27,7 @@
   return route;
 }
 
-// A gateway before scripted upstreams.
+// A gateway in front of scripted upstreams, on loopback sockets.
 struct GatewayFixture {
   explicit GatewayFixture(GatewayOptions given = {},
                           RetryBudget::Options retries = {1.0, 100, 10000})
