--- a/include/junctionrail/gateway.h
+++ b/include/junctionrail/gateway.h
@@ -74,7 +74,7 @@
   std::uint64_t over_quota_refusals = 0;           // Organisation's quota used up.
   std::uint64_t quota_unavailable_refusals = 0;    // No quota allocator answered.
   std::uint64_t quarantine_refusals = 0;           // Running them crashes upstreams.
-  std::uint64_t upstreams_ended = 0;               // With requests of this entry in flight.
+  std::uint64_t upstreams_crashed = 0;             // With requests of this entry in flight.
   std::uint64_t rate_limited_sends = 0;            // Sends held back by an upstream's rate limit.
   std::uint64_t backoff_requests = 0;              // Upstream refusals that asked for a backoff.
   std::uint64_t malformed_notices = 0;
@@ -132,19 +132,19 @@
   void OnVmResumed(std::function<void()> call);
   // Called when an upstream ended while requests of this entry that may have caused it were in
   // flight.
-  void OnUpstreamEnd(std::function<void(const UpstreamEnd&)> call);
+  void OnUpstreamCrash(std::function<void(const UpstreamEnd&)> call);
   // Called when this entry has found that a request crashes upstreams and refuses it from now on.
   void OnRequestQuarantined(std::function<void(const RequestDigest&)> call);
   // Exchange with the quota allocators: messages to send, the allocators, and their replies.
   void OnQuotaMessages(std::function<void(const QuotaTaker::Message&)> call);
-  void SetQuotaGivers(std::vector<QuotaTaker::Giver> givers);
+  void SetQuotaAllocators(std::vector<QuotaTaker::Giver> givers);
   void ApplyQuotaGrant(const QuotaGrant& grant);
   // The link to the quota allocator of that instance has closed.
   void OnQuotaLinkClosed(const std::string& instance);
   const QuotaTaker& quotas() const;
 
   // Findings of other processes.
-  void AddUpstreamEnd(const UpstreamEnd& end);
+  void AddUpstreamCrash(const UpstreamEnd& crash);
   void QuarantineRequest(const RequestDigest& digest);
   // Returns false if this entry does not refuse the request.
   bool ReleaseRequest(const RequestDigest& digest);
--- a/src/daemon/direct_entry.cc
+++ b/src/daemon/direct_entry.cc
@@ -134,7 +134,7 @@
       quarantine_->Reread();
     });
     store_.OnNewEra([this] { RecordRefusalsAgain(); });
-    gateway_.OnUpstreamEnd([this](const UpstreamEnd& end) { TellOfEnd(end); });
+    gateway_.OnUpstreamCrash([this](const UpstreamEnd& end) { TellOfEnd(end); });
     gateway_.OnRequestQuarantined([this](const RequestDigest& it) { recorder_->Record(it); });
     upstreams_.OnRegained([this] {
       configuration_.Reread();
@@ -229,7 +229,7 @@
 
   QuarantineFollower::Callbacks QuarantineCallbacks() {
     QuarantineFollower::Callbacks callbacks;
-    callbacks.ended = [this](const UpstreamEnd& end) { gateway_.AddUpstreamEnd(end); };
+    callbacks.ended = [this](const UpstreamEnd& end) { gateway_.AddUpstreamCrash(end); };
     callbacks.refused = [this](const RequestDigest& it) { gateway_.QuarantineRequest(it); };
     callbacks.released = [this](const RequestDigest& it) { gateway_.ReleaseRequest(it); };
     return callbacks;
@@ -303,7 +303,7 @@
       log_.Write(MonotonicMs(), "end_malformed", {{"upstream", source}});
       return;
     }
-    gateway_.AddUpstreamEnd(end);
+    gateway_.AddUpstreamCrash(end);
   }
 
   void OnQuotaGrant(const std::string& source, std::string_view bytes) {
@@ -343,7 +343,7 @@
           std::find(unseen.begin(), unseen.end(), upstream->endpoint) == unseen.end();
       if (is_giver) givers.push_back({instance, upstream->endpoint.ToString()});
     }
-    gateway_.SetQuotaGivers(std::move(givers));
+    gateway_.SetQuotaAllocators(std::move(givers));
   }
 
   void BoundWord() {
--- a/src/daemon/direct_metrics.cc
+++ b/src/daemon/direct_metrics.cc
@@ -81,7 +81,7 @@
                it.upstream_connections);
   const QuarantineTable& quarantine = gateway.quarantine();
   page.Counter("junctionrail_upstreams_ended_total",
-               "Ended with requests under way that may have caused it.", it.upstreams_ended);
+               "Ended with requests under way that may have caused it.", it.upstreams_crashed);
   page.Counter("junctionrail_quarantined_total", "Refused, as upstreams end when they run them.",
                it.quarantine_refusals);
   page.Counter("junctionrail_suspects_cleared_total", "Suspected, and then run without harm.",
--- a/src/gateway/caller_connection.cc
+++ b/src/gateway/caller_connection.cc
@@ -267,8 +267,8 @@
   is_draining_ = true;
   closes_after_response_ = closes_after_response;
   // A request that is being received is still served.
-  const bool is_between = IsIdle() && !parser_ && buffer_.size() == 0;
-  if (closes_after_response && is_between && !is_last_response_done_) {
+  const bool is_idle = IsIdle() && !parser_ && buffer_.size() == 0;
+  if (closes_after_response && is_idle && !is_last_response_done_) {
     is_last_response_done_ = true;
     Linger();
   }
--- a/src/gateway/crash_detector.cc
+++ b/src/gateway/crash_detector.cc
@@ -15,7 +15,7 @@
 constexpr DurationMs kSentAfterBreakMs = 100;
 // By then the upstream list has shown whether the upstream ended: its record expires after three
 // write periods, 3.6 s.
-constexpr DurationMs kPendingEndMs = 5000;
+constexpr DurationMs kPendingCrashMs = 5000;
 // The interval between port checks of one upstream grows to a second, so that one that breaks off
 // some of its responses is not checked for each. An end within the interval is learned from other
 // entries or from the upstream's record.
@@ -37,16 +37,16 @@
 
 UpstreamEnd CrashDetector::CollectSuspects(const std::string& instance, const std::string& name,
                                            TimeMs now) const {
-  UpstreamEnd end;
-  end.instance = name;
+  UpstreamEnd crash;
+  crash.instance = name;
   const auto it = attempts_.find(instance);
-  if (it == attempts_.end()) return end;
+  if (it == attempts_.end()) return crash;
   for (Exchange* exchange : it->second) {
     if (quarantine_.NameOfEnd(instance, exchange->attempt_started_at()) != name) continue;
     const auto suspect = exchange->AsSuspect(now);
-    if (suspect) end.suspects.push_back(*suspect);
+    if (suspect) crash.suspects.push_back(*suspect);
   }
-  return end;
+  return crash;
 }
 
 // A restarted upstream is sent requests under its old instance until its new record is read, and
@@ -54,13 +54,13 @@
 void CrashDetector::OnConnectionBroken(const std::string& instance, const Endpoint& endpoint,
                                        TimeMs begun_at, TimeMs now) {
   const std::string name = quarantine_.NameOfEnd(instance, begun_at);
-  if (pending_ends_.count(instance) > 0 || quarantine_.IsKnown(name)) return;
+  if (pending_crashes_.count(instance) > 0 || quarantine_.IsKnown(name)) return;
   const auto open = open_ports_.find(instance);
   if (open != open_ports_.end() && now < open->second.next_check_at) return;
-  UpstreamEnd end = CollectSuspects(instance, name, now);
-  if (end.suspects.empty()) return;
-  quarantine_.AddPending(end, now);
-  pending_ends_.emplace(instance, PendingEnd{name, now, std::move(end)});
+  UpstreamEnd crash = CollectSuspects(instance, name, now);
+  if (crash.suspects.empty()) return;
+  quarantine_.AddPending(crash, now);
+  pending_crashes_.emplace(instance, PendingCrash{name, now, std::move(crash)});
   CheckPort(instance, endpoint);
 }
 
@@ -74,7 +74,7 @@
 // An open port proves nothing: if this check was slow, it may belong to the next instance.
 void CrashDetector::OnPortChecked(const std::string& instance, PortState state) {
   const TimeMs now = MonotonicMs();
-  if (state == PortState::kRefused) return OnUpstreamEnded(instance, "port_closed", now);
+  if (state == PortState::kRefused) return OnUpstreamCrashed(instance, "port_closed", now);
   if (state == PortState::kSilent) return;
   OpenPort& open = open_ports_[instance];
   open.pause_ms = std::clamp(2 * open.pause_ms, kMinCheckIntervalMs, kMaxCheckIntervalMs);
@@ -82,51 +82,51 @@
 }
 
 void CrashDetector::OnDataReceived(const std::string& instance, TimeMs now) {
-  if (pending_ends_.empty()) return;
-  const auto it = pending_ends_.find(instance);
-  if (it == pending_ends_.end() || now - it->second.since < kSentAfterBreakMs) return;
-  DiscardPendingEnd(it);
+  if (pending_crashes_.empty()) return;
+  const auto it = pending_crashes_.find(instance);
+  if (it == pending_crashes_.end() || now - it->second.since < kSentAfterBreakMs) return;
+  DiscardPendingCrash(it);
 }
 
 void CrashDetector::OnUpstreamLeaving(const std::string& instance) {
-  const auto it = pending_ends_.find(instance);
-  if (it != pending_ends_.end()) DiscardPendingEnd(it);
+  const auto it = pending_crashes_.find(instance);
+  if (it != pending_crashes_.end()) DiscardPendingCrash(it);
 }
 
-std::map<std::string, CrashDetector::PendingEnd>::iterator CrashDetector::DiscardPendingEnd(
-    std::map<std::string, PendingEnd>::iterator it) {
+std::map<std::string, CrashDetector::PendingCrash>::iterator CrashDetector::DiscardPendingCrash(
+    std::map<std::string, PendingCrash>::iterator it) {
   quarantine_.Withdraw(it->second.name);
-  return pending_ends_.erase(it);
+  return pending_crashes_.erase(it);
 }
 
-void CrashDetector::OnUpstreamEnded(const std::string& instance, std::string_view evidence,
-                                    TimeMs now) {
-  const auto it = pending_ends_.find(instance);
-  if (it == pending_ends_.end()) return;
-  UpstreamEnd end = std::move(it->second.end);
-  end.age_ms = now - it->second.since;
-  pending_ends_.erase(it);
-  on_end_(end, evidence);
+void CrashDetector::OnUpstreamCrashed(const std::string& instance, std::string_view evidence,
+                                      TimeMs now) {
+  const auto it = pending_crashes_.find(instance);
+  if (it == pending_crashes_.end()) return;
+  UpstreamEnd crash = std::move(it->second.crash);
+  crash.age_ms = now - it->second.since;
+  pending_crashes_.erase(it);
+  on_crash_(crash, evidence);
 }
 
-void CrashDetector::OnEndReported(const UpstreamEnd& told, TimeMs now) {
-  const std::string instance = QuarantineTable::InstanceOfEnd(told.instance);
-  const auto it = pending_ends_.find(instance);
-  if (it != pending_ends_.end() && it->second.name == told.instance) {
-    return OnUpstreamEnded(instance, "told", now);
+void CrashDetector::OnCrashReported(const UpstreamEnd& report, TimeMs now) {
+  const std::string instance = QuarantineTable::InstanceOfEnd(report.instance);
+  const auto it = pending_crashes_.find(instance);
+  if (it != pending_crashes_.end() && it->second.name == report.instance) {
+    return OnUpstreamCrashed(instance, "told", now);
   }
   // Its connections from here have not broken yet, or never will because of a network partition.
-  UpstreamEnd end = CollectSuspects(instance, told.instance, now);
-  const bool is_known = quarantine_.IsKnown(told.instance);
-  if (end.suspects.empty() || is_known) return;
-  end.age_ms = told.age_ms;
-  on_end_(end, "told");
+  UpstreamEnd crash = CollectSuspects(instance, report.instance, now);
+  const bool is_known = quarantine_.IsKnown(report.instance);
+  if (crash.suspects.empty() || is_known) return;
+  crash.age_ms = report.age_ms;
+  on_crash_(crash, "told");
 }
 
 void CrashDetector::Expire(TimeMs now) {
-  for (auto it = pending_ends_.begin(); it != pending_ends_.end();) {
-    const bool is_over = now - it->second.since >= kPendingEndMs;
-    it = is_over ? DiscardPendingEnd(it) : std::next(it);
+  for (auto it = pending_crashes_.begin(); it != pending_crashes_.end();) {
+    const bool is_over = now - it->second.since >= kPendingCrashMs;
+    it = is_over ? DiscardPendingCrash(it) : std::next(it);
   }
   for (auto it = open_ports_.begin(); it != open_ports_.end();) {
     it = now - it->second.next_check_at >= kMaxCheckIntervalMs ? open_ports_.erase(it)
--- a/src/gateway/crash_detector.h
+++ b/src/gateway/crash_detector.h
@@ -23,10 +23,10 @@
  public:
   // Called when an upstream has ended, with the kind of evidence. The suspects are those of this
   // entry; `age_ms` of the end is the time since.
-  using EndCallback = std::function<void(const UpstreamEnd& end, std::string_view evidence)>;
+  using CrashCallback = std::function<void(const UpstreamEnd& crash, std::string_view evidence)>;
 
-  CrashDetector(boost::asio::io_context& io, QuarantineTable& quarantine, EndCallback ended)
-      : io_(io), quarantine_(quarantine), on_end_(std::move(ended)) {}
+  CrashDetector(boost::asio::io_context& io, QuarantineTable& quarantine, CrashCallback on_crash)
+      : io_(io), quarantine_(quarantine), on_crash_(std::move(on_crash)) {}
 
   // Registers and removes an attempt of the exchange in flight at the upstream.
   void OnAttemptBegun(const std::string& instance, Exchange* exchange);
@@ -39,17 +39,17 @@
   // The upstream sent data.
   void OnDataReceived(const std::string& instance, TimeMs now);
   // The upstream has ended, by other evidence, or is leaving as planned.
-  void OnUpstreamEnded(const std::string& instance, std::string_view evidence, TimeMs now);
+  void OnUpstreamCrashed(const std::string& instance, std::string_view evidence, TimeMs now);
   void OnUpstreamLeaving(const std::string& instance);
   // Another process saw it end: attempts of this entry in flight there are suspects too.
-  void OnEndReported(const UpstreamEnd& end, TimeMs now);
+  void OnCrashReported(const UpstreamEnd& crash, TimeMs now);
   void Expire(TimeMs now);
 
  private:
-  struct PendingEnd {
-    std::string name;  // Identifies the end; see QuarantineTable::NameOfEnd.
+  struct PendingCrash {
+    std::string name;  // Identifies the crash; see QuarantineTable::NameOfEnd.
     TimeMs since = 0;
-    UpstreamEnd end;
+    UpstreamEnd crash;
   };
   // Ports found open are not checked again at once, so that an upstream that breaks off some of
   // its responses is not checked for each of them.
@@ -62,16 +62,16 @@
   UpstreamEnd CollectSuspects(const std::string& instance, const std::string& name,
                               TimeMs now) const;
   // Withdraws the pending end, as the upstream has not ended or is leaving. Returns the next one.
-  std::map<std::string, PendingEnd>::iterator DiscardPendingEnd(
-      std::map<std::string, PendingEnd>::iterator it);
+  std::map<std::string, PendingCrash>::iterator DiscardPendingCrash(
+      std::map<std::string, PendingCrash>::iterator it);
   void CheckPort(const std::string& instance, const Endpoint& endpoint);
   void OnPortChecked(const std::string& instance, PortState state);
 
   boost::asio::io_context& io_;
   QuarantineTable& quarantine_;
-  EndCallback on_end_;
+  CrashCallback on_crash_;
   std::map<std::string, std::set<Exchange*>> attempts_;  // By instance.
-  std::map<std::string, PendingEnd> pending_ends_;       // By instance.
+  std::map<std::string, PendingCrash> pending_crashes_;  // By instance.
   std::map<std::string, OpenPort> open_ports_;
   // Lets a port check that completes after the destruction of this object do nothing.
   std::shared_ptr<bool> lifetime_ = std::make_shared<bool>(true);
--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -120,7 +120,7 @@
   const TimeMs now = MonotonicMs();
   if (now >= deadline_at_) return GiveUp(ExecutionSoFar(), "deadline");
   if (quota_ticket_ != 0 || upstream_quota_ticket_ != 0 || !RecheckKey()) return;
-  if (CurrentStanding() == Standing::kRefused) return RefuseQuarantined();
+  if (CurrentQuarantineStatus() == Standing::kRefused) return RefuseQuarantined();
   const Pick choice = ChooseUpstream(now);
   if (const auto* to = std::get_if<SendTo>(&choice)) {
     if (AcquireQuota() && AcquireUpstreamQuota(to->instance)) SendRequest(to->instance);
@@ -145,19 +145,19 @@
   return *digest_;
 }
 
-Standing Exchange::CurrentStanding() {
+Standing Exchange::CurrentQuarantineStatus() {
   if (gateway_.quarantine.IsEmpty()) return Standing::kClear;
   return gateway_.quarantine.StandingOf(Digest(), MonotonicMs());
 }
 
-bool Exchange::IsSuspect() { return CurrentStanding() != Standing::kClear; }
+bool Exchange::IsSuspect() { return CurrentQuarantineStatus() != Standing::kClear; }
 
 std::optional<Suspect> Exchange::AsSuspect(TimeMs now) {
   const bool has_event = attempt_first_event_at_ != 0;
   const bool is_harmless =
       has_event && now - attempt_first_event_at_ >= QuarantineLimits().harmless_after_ms;
   if (is_harmless) return std::nullopt;
-  return Suspect{Digest(), has_event, is_sole_suspect_};
+  return Suspect{Digest(), has_event, is_isolated_suspect_};
 }
 
 // Refuses at once and without Retry-After, as a retry would not help. Not a 4xx status, as the
@@ -173,9 +173,9 @@
 void Exchange::ClearSuspicion() {
   if (!digest_) return;
   gateway_.quarantine.Clear(*digest_, MonotonicMs());
-  if (!is_sole_suspect_) return;
-  is_sole_suspect_ = false;
-  gateway_.probation.Leave(instance_, *digest_);
+  if (!is_isolated_suspect_) return;
+  is_isolated_suspect_ = false;
+  gateway_.suspect_isolation.Leave(instance_, *digest_);
   gateway_.RetrySuspects();
 }
 
@@ -189,10 +189,12 @@
   if (!gateway_.quarantine.IsEmpty()) {
     const bool is_suspect = IsSuspect();
     // One attempt at a time, as callers may send the same request several times at once.
-    const auto other_try = is_suspect && model_ ? gateway_.probation.Find(Digest()) : std::nullopt;
+    const auto other_try =
+        is_suspect && model_ ? gateway_.suspect_isolation.Find(Digest()) : std::nullopt;
     if (other_try) return WaitFor{*other_try, kConcurrentSuspectWaitMs, "alone", 0};
     auto& besides = is_suspect ? request.taken : request.risky;
-    besides = is_suspect ? gateway_.probation.TakenBesides(Digest()) : gateway_.probation.Taken();
+    besides = is_suspect ? gateway_.suspect_isolation.TakenBesides(Digest())
+                         : gateway_.suspect_isolation.Taken();
   }
   Pick pick = gateway_.upstreams.Choose(request, now);
   const auto* none = std::get_if<NoneLeft>(&pick);
@@ -210,9 +212,9 @@
   const DurationMs patience =
       wait_deadline_at_ - now - (model_ ? gateway_.upstreams.FirstEventMs(*model_) : 0);
   const bool has_agent = !wait.instance.empty();
-  const bool is_hopeless =
+  const bool is_wait_too_long =
       has_agent ? wait.estimate_ms > patience : now - waiting_since_ > kNoAgentWaitMs;
-  const bool is_new_ask = asked_instance_ != wait.instance;
+  const bool is_new_instance = asked_instance_ != wait.instance;
   asked_instance_ = wait.instance;
   if (!is_waiting_for_model_ && has_agent) {
     gateway_.log.Write(now, "wait_for_model",
@@ -226,10 +228,10 @@
   }
   if (is_response_begun_)
     return GiveUp(Execution::kMayHaveRun, "no upstream has the model loaded any more");
-  if (is_new_ask && gateway_.on_new_demand) gateway_.on_new_demand(asked_instance_);
-  if (is_hopeless && ExecutionSoFar() == Execution::kMayHaveRun)
+  if (is_new_instance && gateway_.on_new_demand) gateway_.on_new_demand(asked_instance_);
+  if (is_wait_too_long && ExecutionSoFar() == Execution::kMayHaveRun)
     return GiveUp(Execution::kMayHaveRun, "no upstream has the model loaded");
-  if (is_hopeless) {
+  if (is_wait_too_long) {
     // The load is requested nevertheless: the caller is told to retry when it is expected to be
     // done.
     gateway_.RecordRefusedWait(*this);
@@ -274,7 +276,7 @@
   gateway_.upstreams.OnSent(instance, model_, attempt_started_at_);
   gateway_.crash_detector.OnAttemptBegun(instance, this);
   attempt_first_event_at_ = 0;
-  is_sole_suspect_ = IsSuspect() && gateway_.probation.Enter(instance, Digest());
+  is_isolated_suspect_ = IsSuspect() && gateway_.suspect_isolation.Enter(instance, Digest());
   UpstreamMessage message;
   message.head = BuildRequestHead(*upstream);
   message.body = request_.body;
@@ -345,14 +347,14 @@
 
 void Exchange::EndAttempt(AttemptEnd end) {
   const TimeMs now = MonotonicMs();
-  const bool is_in_vain = end == AttemptEnd::kSilent || end == AttemptEnd::kAbandoned;
-  if (model_ && is_in_vain && !is_response_begun_) {
+  const bool is_unanswered = end == AttemptEnd::kSilent || end == AttemptEnd::kAbandoned;
+  if (model_ && is_unanswered && !is_response_begun_) {
     gateway_.upstreams.OnFirstEvent(*model_, now - attempt_started_at_);
   }
   gateway_.upstreams.OnEnd(instance_, model_, end, now);
   gateway_.crash_detector.OnAttemptOver(instance_, this);
-  if (std::exchange(is_sole_suspect_, false)) {
-    gateway_.probation.Leave(instance_, Digest());
+  if (std::exchange(is_isolated_suspect_, false)) {
+    gateway_.suspect_isolation.Leave(instance_, Digest());
     gateway_.RetrySuspects();
   }
   call_ = nullptr;
--- a/src/gateway/exchange.h
+++ b/src/gateway/exchange.h
@@ -103,7 +103,7 @@
   void AttemptNext();
   Pick ChooseUpstream(TimeMs now);
   const RequestDigest& Digest();
-  Standing CurrentStanding();
+  Standing CurrentQuarantineStatus();
   void RefuseQuarantined();
   void ClearSuspicion();
   void SendRequest(const std::string& instance);
@@ -162,7 +162,7 @@
   int unsent_attempts_ = 0;
   TimeMs attempt_started_at_ = 0;
   std::optional<RequestDigest> digest_;  // Computed on first use.
-  bool is_sole_suspect_ = false;         // Sent as the only suspect at its upstream.
+  bool is_isolated_suspect_ = false;     // Sent as the only suspect at its upstream.
   TimeMs attempt_first_event_at_ = 0;    // 0: no event yet.
   TimeMs last_activity_at_ = 0;          // Of the upstream; the silence timeout counts from here.
   // Age of the upstream list at the last attempt; -1: no attempt, or unknown.
--- a/src/gateway/exchange_answer.cc
+++ b/src/gateway/exchange_answer.cc
@@ -60,7 +60,7 @@
     const std::string* other = FindField(head.fields, names.instance);
     if (other != nullptr && *other != upstream_wire_id_) {
       gateway_.upstreams.OnOtherInstance(instance_);
-      gateway_.crash_detector.OnUpstreamEnded(instance_, "other_instance", now);
+      gateway_.crash_detector.OnUpstreamCrashed(instance_, "other_instance", now);
       reason = "another instance uses the address";
     } else if (model_) {
       gateway_.upstreams.OnNotLoaded(instance_, *model_, now);
@@ -107,7 +107,7 @@
   if (attempt_first_event_at_ == 0) attempt_first_event_at_ = last_event_at_;
   const bool is_harmless =
       last_event_at_ - attempt_first_event_at_ >= QuarantineLimits().harmless_after_ms;
-  if (is_sole_suspect_ && is_harmless) ClearSuspicion();
+  if (is_isolated_suspect_ && is_harmless) ClearSuspicion();
 }
 
 void Exchange::RecordEventPause() {
@@ -149,10 +149,10 @@
   const bool is_success = status / 100 == 2;
   // These statuses imply that the request did not run, which is unknown without the upstream's
   // explicit statement.
-  const bool is_false_promise =
+  const bool implies_not_run =
       status == kUnavailable || status == kTooManyRequests || status == kRequestTimeout;
   EndAttempt(status >= 500 ? AttemptEnd::kFailed : AttemptEnd::kServed);
-  if (is_false_promise) {
+  if (implies_not_run) {
     return AfterAttempt(Execution::kMayHaveRun, true, "status " + std::to_string(status));
   }
   if (is_response_begun_ && !is_success) {
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -76,8 +76,8 @@
       retry_budget(options.retry_budget),
       pool(io, options.header_names.request_id),
       crash_detector(io, quarantine,
-                     [this](const UpstreamEnd& end, std::string_view evidence) {
-                       OnUpstreamEnded(end, evidence);
+                     [this](const UpstreamEnd& crash, std::string_view evidence) {
+                       OnUpstreamCrashed(crash, evidence);
                      }),
       quotas(options.entry_id),
       quota_timer(io),
@@ -230,7 +230,7 @@
   for (const auto& it : changes) {
     if (it.news == ListingNews::kLeaving) crash_detector.OnUpstreamLeaving(it.instance);
     if (it.news == ListingNews::kGone)
-      crash_detector.OnUpstreamEnded(it.instance, "record_gone", now);
+      crash_detector.OnUpstreamCrashed(it.instance, "record_gone", now);
     // In the first list all upstreams are new.
     if (is_first && it.news == ListingNews::kListed) continue;
     log.Write(
@@ -269,32 +269,32 @@
 
 // Handles an end that this entry saw or had suspects in. Digests are truncated to eight digits, so
 // that the log line has room for all likely suspects.
-void Gateway::Impl::OnUpstreamEnded(const UpstreamEnd& end, std::string_view evidence) {
+void Gateway::Impl::OnUpstreamCrashed(const UpstreamEnd& crash, std::string_view evidence) {
   constexpr std::size_t kShortDigits = 8;
-  ++counters.upstreams_ended;
+  ++counters.upstreams_crashed;
   std::string suspects;
-  for (const auto& it : end.suspects) {
+  for (const auto& it : crash.suspects) {
     if (!suspects.empty()) suspects += ' ';
     suspects += it.digest.ToString().substr(0, kShortDigits);
     if (it.has_shown_event) suspects += '+';
     if (it.was_alone) suspects += '!';
   }
   log.Write(MonotonicMs(), "upstream_ended",
-            {{"upstream", end.instance},
+            {{"upstream", crash.instance},
              {"evidence", evidence},
-             {"age_ms", end.age_ms},
-             {"count", static_cast<std::int64_t>(end.suspects.size())},
+             {"age_ms", crash.age_ms},
+             {"count", static_cast<std::int64_t>(crash.suspects.size())},
              {"suspects", suspects}});
-  quarantine.Add(end, MonotonicMs());
+  quarantine.Add(crash, MonotonicMs());
   ReportQuarantined();
-  if (on_upstream_end) on_upstream_end(end);
+  if (on_upstream_crash) on_upstream_crash(crash);
   RetrySuspects();
 }
 
-void Gateway::Impl::AddUpstreamEnd(const UpstreamEnd& end) {
+void Gateway::Impl::AddUpstreamCrash(const UpstreamEnd& crash) {
   const TimeMs now = MonotonicMs();
-  crash_detector.OnEndReported(end, now);
-  if (!quarantine.Add(end, now)) return;
+  crash_detector.OnCrashReported(crash, now);
+  if (!quarantine.Add(crash, now)) return;
   ReportQuarantined();
   RetrySuspects();
 }
@@ -517,13 +517,13 @@
 }
 
 void Gateway::OnVmResumed(std::function<void()> call) { impl_->on_vm_resumed = std::move(call); }
-void Gateway::OnUpstreamEnd(std::function<void(const UpstreamEnd&)> call) {
-  impl_->on_upstream_end = std::move(call);
+void Gateway::OnUpstreamCrash(std::function<void(const UpstreamEnd&)> call) {
+  impl_->on_upstream_crash = std::move(call);
 }
 void Gateway::OnRequestQuarantined(std::function<void(const RequestDigest&)> call) {
   impl_->on_request_quarantined = std::move(call);
 }
-void Gateway::AddUpstreamEnd(const UpstreamEnd& end) { impl_->AddUpstreamEnd(end); }
+void Gateway::AddUpstreamCrash(const UpstreamEnd& crash) { impl_->AddUpstreamCrash(crash); }
 void Gateway::QuarantineRequest(const RequestDigest& digest) {
   impl_->quarantine.Refuse(digest, MonotonicMs());
   impl_->RetrySuspects();
@@ -534,7 +534,7 @@
 void Gateway::OnQuotaMessages(std::function<void(const QuotaTaker::Message&)> call) {
   impl_->on_quota_message = std::move(call);
 }
-void Gateway::SetQuotaGivers(std::vector<QuotaTaker::Giver> givers) {
+void Gateway::SetQuotaAllocators(std::vector<QuotaTaker::Giver> givers) {
   impl_->quotas.SetGivers(std::move(givers), MonotonicMs());
   impl_->DeliverQuotaOutcomes(impl_->quotas.Expire(MonotonicMs()));
   impl_->SendQuotaMessages();
--- a/src/gateway/gateway_impl.h
+++ b/src/gateway/gateway_impl.h
@@ -70,8 +70,8 @@
   void OnUpstreamResponse(const std::string& instance, const internal::UpstreamHead& head,
                           TimeMs sent_at);
 
-  void OnUpstreamEnded(const UpstreamEnd& end, std::string_view evidence);
-  void AddUpstreamEnd(const UpstreamEnd& end);
+  void OnUpstreamCrashed(const UpstreamEnd& crash, std::string_view evidence);
+  void AddUpstreamCrash(const UpstreamEnd& crash);
   void ReportQuarantined();
   // Retries waiting suspects: an upstream without another suspect may be available, or they may be
   // refused now.
@@ -89,7 +89,7 @@
   RetryBudget retry_budget;
   internal::UpstreamPool pool;
   QuarantineTable quarantine;
-  Probation probation;
+  Probation suspect_isolation;
   internal::CrashDetector crash_detector;
   QuotaTaker quotas;
   std::map<std::uint64_t, std::weak_ptr<internal::Exchange>> pending_quota_requests;  // By ticket.
@@ -107,7 +107,7 @@
   std::vector<UpstreamTable::Waiting> refused_waits;
   std::set<std::shared_ptr<internal::CallerConnection>> connections;
   std::function<void(const std::string& instance)> on_new_demand;
-  std::function<void(const UpstreamEnd&)> on_upstream_end;
+  std::function<void(const UpstreamEnd&)> on_upstream_crash;
   std::function<void(const RequestDigest&)> on_request_quarantined;
   bool is_stopping = false;
   TimeMs stop_started_at = 0;
--- a/test/gateway_keys_test.cc
+++ b/test/gateway_keys_test.cc
@@ -169,7 +169,7 @@
       asks.push_back(it.ask);
       if (answers) Answer(it.ask.number, is_granted);
     });
-    gateway->SetQuotaGivers({{"u9", "10.0.0.9:1"}});
+    gateway->SetQuotaAllocators({{"u9", "10.0.0.9:1"}});
   }
 
   void Answer(std::uint64_t number, bool granted) {
--- a/test/upstream_notices_test.cc
+++ b/test/upstream_notices_test.cc
@@ -87,7 +87,7 @@
           if (!grant.shares.empty()) gateway->ApplyQuotaGrant(grant);
         });
       });
-      gateway->SetQuotaGivers({{"i-agent", "10.0.0.1:1"}});
+      gateway->SetQuotaAllocators({{"i-agent", "10.0.0.1:1"}});
     }
   }
 
