--- a/include/junctionrail/gateway.h
+++ b/include/junctionrail/gateway.h
@@ -132,19 +132,19 @@
   void OnVmResumed(std::function<void()> call);
   // Called when an upstream ended while requests of this entry that may have caused it were in
   // flight.
-  void OnUpstreamCrash(std::function<void(const UpstreamEnd&)> call);
+  void OnUpstreamCrash(std::function<void(const UpstreamCrash&)> call);
   // Called when this entry has found that a request crashes upstreams and refuses it from now on.
   void OnRequestQuarantined(std::function<void(const RequestDigest&)> call);
   // Exchange with the quota allocators: messages to send, the allocators, and their replies.
-  void OnQuotaMessages(std::function<void(const QuotaTaker::Message&)> call);
-  void SetQuotaAllocators(std::vector<QuotaTaker::Giver> givers);
+  void OnQuotaMessages(std::function<void(const QuotaClient::Message&)> call);
+  void SetQuotaAllocators(std::vector<QuotaClient::Allocator> allocators);
   void ApplyQuotaGrant(const QuotaGrant& grant);
   // The link to the quota allocator of that instance has closed.
   void OnQuotaLinkClosed(const std::string& instance);
-  const QuotaTaker& quotas() const;
+  const QuotaClient& quotas() const;
 
   // Findings of other processes.
-  void AddUpstreamCrash(const UpstreamEnd& crash);
+  void AddUpstreamCrash(const UpstreamCrash& crash);
   void QuarantineRequest(const RequestDigest& digest);
   // Returns false if this entry does not refuse the request.
   bool ReleaseRequest(const RequestDigest& digest);
--- a/src/gateway/crash_detector.cc
+++ b/src/gateway/crash_detector.cc
@@ -35,14 +35,14 @@
   if (it->second.empty()) attempts_.erase(it);
 }
 
-UpstreamEnd CrashDetector::CollectSuspects(const std::string& instance, const std::string& name,
-                                           TimeMs now) const {
-  UpstreamEnd crash;
+UpstreamCrash CrashDetector::CollectSuspects(const std::string& instance, const std::string& name,
+                                             TimeMs now) const {
+  UpstreamCrash crash;
   crash.instance = name;
   const auto it = attempts_.find(instance);
   if (it == attempts_.end()) return crash;
   for (Exchange* exchange : it->second) {
-    if (quarantine_.NameOfEnd(instance, exchange->attempt_started_at()) != name) continue;
+    if (quarantine_.CrashName(instance, exchange->attempt_started_at()) != name) continue;
     const auto suspect = exchange->AsSuspect(now);
     if (suspect) crash.suspects.push_back(*suspect);
   }
@@ -50,14 +50,14 @@
 }
 
 // A restarted upstream is sent requests under its old instance until its new record is read, and
-// may end again before that; NameOfEnd tells the two ends apart.
+// may end again before that; CrashName tells the two ends apart.
 void CrashDetector::OnConnectionBroken(const std::string& instance, const Endpoint& endpoint,
                                        TimeMs begun_at, TimeMs now) {
-  const std::string name = quarantine_.NameOfEnd(instance, begun_at);
+  const std::string name = quarantine_.CrashName(instance, begun_at);
   if (pending_crashes_.count(instance) > 0 || quarantine_.IsKnown(name)) return;
   const auto open = open_ports_.find(instance);
   if (open != open_ports_.end() && now < open->second.next_check_at) return;
-  UpstreamEnd crash = CollectSuspects(instance, name, now);
+  UpstreamCrash crash = CollectSuspects(instance, name, now);
   if (crash.suspects.empty()) return;
   quarantine_.AddPending(crash, now);
   pending_crashes_.emplace(instance, PendingCrash{name, now, std::move(crash)});
@@ -103,20 +103,20 @@
                                       TimeMs now) {
   const auto it = pending_crashes_.find(instance);
   if (it == pending_crashes_.end()) return;
-  UpstreamEnd crash = std::move(it->second.crash);
+  UpstreamCrash crash = std::move(it->second.crash);
   crash.age_ms = now - it->second.since;
   pending_crashes_.erase(it);
   on_crash_(crash, evidence);
 }
 
-void CrashDetector::OnCrashReported(const UpstreamEnd& report, TimeMs now) {
-  const std::string instance = QuarantineTable::InstanceOfEnd(report.instance);
+void CrashDetector::OnCrashReported(const UpstreamCrash& report, TimeMs now) {
+  const std::string instance = QuarantineTable::InstanceOfCrash(report.instance);
   const auto it = pending_crashes_.find(instance);
   if (it != pending_crashes_.end() && it->second.name == report.instance) {
     return OnUpstreamCrashed(instance, "told", now);
   }
   // Its connections from here have not broken yet, or never will because of a network partition.
-  UpstreamEnd crash = CollectSuspects(instance, report.instance, now);
+  UpstreamCrash crash = CollectSuspects(instance, report.instance, now);
   const bool is_known = quarantine_.IsKnown(report.instance);
   if (crash.suspects.empty() || is_known) return;
   crash.age_ms = report.age_ms;
--- a/src/gateway/crash_detector.h
+++ b/src/gateway/crash_detector.h
@@ -23,7 +23,7 @@
  public:
   // Called when an upstream has ended, with the kind of evidence. The suspects are those of this
   // entry; `age_ms` of the end is the time since.
-  using CrashCallback = std::function<void(const UpstreamEnd& crash, std::string_view evidence)>;
+  using CrashCallback = std::function<void(const UpstreamCrash& crash, std::string_view evidence)>;
 
   CrashDetector(boost::asio::io_context& io, QuarantineTable& quarantine, CrashCallback on_crash)
       : io_(io), quarantine_(quarantine), on_crash_(std::move(on_crash)) {}
@@ -42,14 +42,14 @@
   void OnUpstreamCrashed(const std::string& instance, std::string_view evidence, TimeMs now);
   void OnUpstreamLeaving(const std::string& instance);
   // Another process saw it end: attempts of this entry in flight there are suspects too.
-  void OnCrashReported(const UpstreamEnd& crash, TimeMs now);
+  void OnCrashReported(const UpstreamCrash& crash, TimeMs now);
   void Expire(TimeMs now);
 
  private:
   struct PendingCrash {
-    std::string name;  // Identifies the crash; see QuarantineTable::NameOfEnd.
+    std::string name;  // Identifies the crash; see QuarantineTable::CrashName.
     TimeMs since = 0;
-    UpstreamEnd crash;
+    UpstreamCrash crash;
   };
   // Ports found open are not checked again at once, so that an upstream that breaks off some of
   // its responses is not checked for each of them.
@@ -59,8 +59,8 @@
   };
 
   // The attempts of this entry that may have caused the end of that name.
-  UpstreamEnd CollectSuspects(const std::string& instance, const std::string& name,
-                              TimeMs now) const;
+  UpstreamCrash CollectSuspects(const std::string& instance, const std::string& name,
+                                TimeMs now) const;
   // Withdraws the pending end, as the upstream has not ended or is leaving. Returns the next one.
   std::map<std::string, PendingCrash>::iterator DiscardPendingCrash(
       std::map<std::string, PendingCrash>::iterator it);
--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -67,7 +67,8 @@
                   0);
   }
   if (!ReadFields() || !ReadKey() || !ReadQuotaAmount()) return;
-  const auto over = gateway_.quotas.RefuseIfOver(organisation_, quota_amount_, request_.arrived_at);
+  const auto over =
+      gateway_.quotas.RefuseIfOverQuota(organisation_, quota_amount_, request_.arrived_at);
   if (over) return RefuseOverQuota(*over);
   gateway_.retry_budget.OnRequest(service_, request_.arrived_at);
   gateway_.upstreams.OnArrival(model_, priority_, route_->first_answer_ms, request_.arrived_at);
@@ -120,7 +121,7 @@
   const TimeMs now = MonotonicMs();
   if (now >= deadline_at_) return GiveUp(ExecutionSoFar(), "deadline");
   if (quota_ticket_ != 0 || upstream_quota_ticket_ != 0 || !RecheckKey()) return;
-  if (CurrentQuarantineStatus() == Standing::kRefused) return RefuseQuarantined();
+  if (CurrentQuarantineStatus() == QuarantineStatus::kRefused) return RefuseQuarantined();
   const Pick choice = ChooseUpstream(now);
   if (const auto* to = std::get_if<SendTo>(&choice)) {
     if (AcquireQuota() && AcquireUpstreamQuota(to->instance)) SendRequest(to->instance);
@@ -145,12 +146,12 @@
   return *digest_;
 }
 
-Standing Exchange::CurrentQuarantineStatus() {
-  if (gateway_.quarantine.IsEmpty()) return Standing::kClear;
-  return gateway_.quarantine.StandingOf(Digest(), MonotonicMs());
+QuarantineStatus Exchange::CurrentQuarantineStatus() {
+  if (gateway_.quarantine.IsEmpty()) return QuarantineStatus::kClear;
+  return gateway_.quarantine.StatusOf(Digest(), MonotonicMs());
 }
 
-bool Exchange::IsSuspect() { return CurrentQuarantineStatus() != Standing::kClear; }
+bool Exchange::IsSuspect() { return CurrentQuarantineStatus() != QuarantineStatus::kClear; }
 
 std::optional<Suspect> Exchange::AsSuspect(TimeMs now) {
   const bool has_event = attempt_first_event_at_ != 0;
@@ -175,7 +176,7 @@
   gateway_.quarantine.Clear(*digest_, MonotonicMs());
   if (!is_isolated_suspect_) return;
   is_isolated_suspect_ = false;
-  gateway_.suspect_isolation.Leave(instance_, *digest_);
+  gateway_.suspect_isolation.Release(instance_, *digest_);
   gateway_.RetrySuspects();
 }
 
@@ -193,8 +194,8 @@
         is_suspect && model_ ? gateway_.suspect_isolation.Find(Digest()) : std::nullopt;
     if (other_try) return WaitFor{*other_try, kConcurrentSuspectWaitMs, "alone", 0};
     auto& besides = is_suspect ? request.taken : request.risky;
-    besides = is_suspect ? gateway_.suspect_isolation.TakenBesides(Digest())
-                         : gateway_.suspect_isolation.Taken();
+    besides = is_suspect ? gateway_.suspect_isolation.OccupiedByOthers(Digest())
+                         : gateway_.suspect_isolation.Occupied();
   }
   Pick pick = gateway_.upstreams.Choose(request, now);
   const auto* none = std::get_if<NoneLeft>(&pick);
@@ -276,7 +277,7 @@
   gateway_.upstreams.OnSent(instance, model_, attempt_started_at_);
   gateway_.crash_detector.OnAttemptBegun(instance, this);
   attempt_first_event_at_ = 0;
-  is_isolated_suspect_ = IsSuspect() && gateway_.suspect_isolation.Enter(instance, Digest());
+  is_isolated_suspect_ = IsSuspect() && gateway_.suspect_isolation.Reserve(instance, Digest());
   UpstreamMessage message;
   message.head = BuildRequestHead(*upstream);
   message.body = request_.body;
@@ -354,7 +355,7 @@
   gateway_.upstreams.OnEnd(instance_, model_, end, now);
   gateway_.crash_detector.OnAttemptOver(instance_, this);
   if (std::exchange(is_isolated_suspect_, false)) {
-    gateway_.suspect_isolation.Leave(instance_, Digest());
+    gateway_.suspect_isolation.Release(instance_, Digest());
     gateway_.RetrySuspects();
   }
   call_ = nullptr;
--- a/src/gateway/exchange.h
+++ b/src/gateway/exchange.h
@@ -76,7 +76,7 @@
   void OnQuotaRequested(std::uint64_t ticket) { quota_ticket_ = ticket; }
   // An allocator was asked for a part of the upstream's rate limit under `ticket`.
   void OnUpstreamQuotaRequested(std::uint64_t ticket, const std::string& instance);
-  void OnQuotaDecision(std::uint64_t ticket, const QuotaTaker::Verdict& verdict);
+  void OnQuotaDecision(std::uint64_t ticket, const QuotaClient::Admission& verdict);
 
   bool MaySend() override;
   void OnHead(UpstreamHead head) override;
@@ -96,14 +96,14 @@
   bool RecheckKey();
   bool AcquireQuota();
   bool AcquireUpstreamQuota(const std::string& instance);
-  void OnUpstreamQuotaDecision(const QuotaTaker::Verdict& verdict);
+  void OnUpstreamQuotaDecision(const QuotaClient::Admission& verdict);
   void RecordUpstreamLimitReached(const std::string& instance, DurationMs retry_ms);
-  void RefuseOverQuota(const QuotaTaker::Verdict& verdict);
+  void RefuseOverQuota(const QuotaClient::Admission& verdict);
   void ReturnQuota();
   void AttemptNext();
   Pick ChooseUpstream(TimeMs now);
   const RequestDigest& Digest();
-  Standing CurrentQuarantineStatus();
+  QuarantineStatus CurrentQuarantineStatus();
   void RefuseQuarantined();
   void ClearSuspicion();
   void SendRequest(const std::string& instance);
--- a/src/gateway/exchange_access.cc
+++ b/src/gateway/exchange_access.cc
@@ -71,7 +71,7 @@
   if (holder == nullptr || !holder->quota.IsLimited()) return true;
   quota_amount_ = 1;
   if (holder->quota.unit == QuotaUnit::kRequests) return true;
-  quota_amount_ = holder->quota.plain_tokens;
+  quota_amount_ = holder->quota.default_tokens;
   const std::string& name = gateway_.options.header_names.token_usage;
   const std::string* usage = FindField(request_.fields, name);
   if (usage == nullptr) return true;
@@ -128,11 +128,11 @@
 bool Exchange::AcquireQuota() {
   if (has_quota_ || quota_amount_ <= 0 || organisation_.empty()) return true;
   const auto verdict = gateway_.TakeQuota(shared_from_this(), organisation_, quota_amount_);
-  if (verdict.decision == QuotaTaker::Decision::kTaken) {
+  if (verdict.decision == QuotaClient::Decision::kAdmitted) {
     has_quota_ = true;
     return true;
   }
-  if (verdict.decision == QuotaTaker::Decision::kAsked) {
+  if (verdict.decision == QuotaClient::Decision::kPending) {
     ArmTimer();
   } else {
     RefuseOverQuota(verdict);
@@ -140,11 +140,11 @@
   return false;
 }
 
-void Exchange::OnQuotaDecision(std::uint64_t ticket, const QuotaTaker::Verdict& verdict) {
+void Exchange::OnQuotaDecision(std::uint64_t ticket, const QuotaClient::Admission& verdict) {
   if (ticket == upstream_quota_ticket_) return OnUpstreamQuotaDecision(verdict);
   quota_ticket_ = 0;
   if (is_finished_) return;
-  has_quota_ = verdict.decision == QuotaTaker::Decision::kTaken;
+  has_quota_ = verdict.decision == QuotaClient::Decision::kAdmitted;
   if (has_quota_) return AttemptNext();
   RefuseOverQuota(verdict);
 }
@@ -156,8 +156,8 @@
   upstream_quota_instance_.clear();
   if (has_share || !gateway_.upstreams.LimitOf(instance)) return true;
   const auto verdict = gateway_.TakeUpstreamQuota(shared_from_this(), instance);
-  if (verdict.decision == QuotaTaker::Decision::kTaken) return true;
-  if (verdict.decision == QuotaTaker::Decision::kAsked) {
+  if (verdict.decision == QuotaClient::Decision::kAdmitted) return true;
+  if (verdict.decision == QuotaClient::Decision::kPending) {
     ArmTimer();
     return false;
   }
@@ -171,10 +171,10 @@
   upstream_quota_instance_ = instance;
 }
 
-void Exchange::OnUpstreamQuotaDecision(const QuotaTaker::Verdict& verdict) {
+void Exchange::OnUpstreamQuotaDecision(const QuotaClient::Admission& verdict) {
   upstream_quota_ticket_ = 0;
   if (is_finished_) return;
-  if (verdict.decision != QuotaTaker::Decision::kTaken) {
+  if (verdict.decision != QuotaClient::Decision::kAdmitted) {
     RecordUpstreamLimitReached(std::exchange(upstream_quota_instance_, {}), verdict.retry_ms);
   }
   AttemptNext();
@@ -187,8 +187,8 @@
   terms->OnLimitReached(MonotonicMs() + std::max(retry_ms, kMinLimitRetryMs));
 }
 
-void Exchange::RefuseOverQuota(const QuotaTaker::Verdict& verdict) {
-  if (verdict.decision == QuotaTaker::Decision::kNoGiver) {
+void Exchange::RefuseOverQuota(const QuotaClient::Admission& verdict) {
+  if (verdict.decision == QuotaClient::Decision::kNoAllocator) {
     ++gateway_.counters.quota_unavailable_refusals;
     return Refuse(kUnavailable, "quota_unknown", "the organisation's remaining quota is unknown",
                   Execution::kNotRun, verdict.retry_ms);
@@ -204,7 +204,7 @@
   if (upstream_quota_ticket_ != 0)
     gateway_.CancelQuotaRequest(std::exchange(upstream_quota_ticket_, 0));
   if (!std::exchange(has_quota_, false) || ExecutionSoFar() == Execution::kMayHaveRun) return;
-  gateway_.quotas.GiveBack(organisation_, quota_amount_, MonotonicMs());
+  gateway_.quotas.Refund(organisation_, quota_amount_, MonotonicMs());
 }
 
 }  // namespace junctionrail::internal
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -76,7 +76,7 @@
       retry_budget(options.retry_budget),
       pool(io, options.header_names.request_id),
       crash_detector(io, quarantine,
-                     [this](const UpstreamEnd& crash, std::string_view evidence) {
+                     [this](const UpstreamCrash& crash, std::string_view evidence) {
                        OnUpstreamCrashed(crash, evidence);
                      }),
       quotas(options.entry_id),
@@ -129,8 +129,8 @@
     self->crash_detector.Expire(now);
     self->quarantine.Expire(now);
     self->ReportQuarantined();
-    self->quotas.SetEntries(self->upstreams.Entries(now), now);
-    self->quotas.KeepUpstreams(
+    self->quotas.SetEntryCount(self->upstreams.Entries(now), now);
+    self->quotas.RetainLimitedUpstreams(
         [&](const std::string& instance) { return self->upstreams.LimitOf(instance).has_value(); });
     self->SendQuotaMessages();
     if (self->is_stopping) {
@@ -269,15 +269,15 @@
 
 // Handles an end that this entry saw or had suspects in. Digests are truncated to eight digits, so
 // that the log line has room for all likely suspects.
-void Gateway::Impl::OnUpstreamCrashed(const UpstreamEnd& crash, std::string_view evidence) {
+void Gateway::Impl::OnUpstreamCrashed(const UpstreamCrash& crash, std::string_view evidence) {
   constexpr std::size_t kShortDigits = 8;
   ++counters.upstreams_crashed;
   std::string suspects;
   for (const auto& it : crash.suspects) {
     if (!suspects.empty()) suspects += ' ';
     suspects += it.digest.ToString().substr(0, kShortDigits);
-    if (it.has_shown_event) suspects += '+';
-    if (it.was_alone) suspects += '!';
+    if (it.has_sent_event) suspects += '+';
+    if (it.was_isolated) suspects += '!';
   }
   log.Write(MonotonicMs(), "upstream_ended",
             {{"upstream", crash.instance},
@@ -291,7 +291,7 @@
   RetrySuspects();
 }
 
-void Gateway::Impl::AddUpstreamCrash(const UpstreamEnd& crash) {
+void Gateway::Impl::AddUpstreamCrash(const UpstreamCrash& crash) {
   const TimeMs now = MonotonicMs();
   crash_detector.OnCrashReported(crash, now);
   if (!quarantine.Add(crash, now)) return;
@@ -300,7 +300,7 @@
 }
 
 void Gateway::Impl::ReportQuarantined() {
-  for (const auto& it : quarantine.TakeRefused()) {
+  for (const auto& it : quarantine.TakeNewRefusals()) {
     log.Write(MonotonicMs(), "request_quarantined", {{"digest", it.ToString()}});
     if (on_request_quarantined) on_request_quarantined(it);
   }
@@ -332,21 +332,21 @@
          now - configuration_confirmed_at <= options.key_revocation_ms - kKeyCheckMarginMs;
 }
 
-QuotaTaker::Verdict Gateway::Impl::TakeQuota(const std::shared_ptr<internal::Exchange>& exchange,
-                                             const std::string& organisation, double amount) {
+QuotaClient::Admission Gateway::Impl::TakeQuota(const std::shared_ptr<internal::Exchange>& exchange,
+                                                const std::string& organisation, double amount) {
   const std::uint64_t ticket = ++last_ticket;
-  const auto verdict = quotas.Take(organisation, amount, ticket, MonotonicMs());
-  if (verdict.decision != QuotaTaker::Decision::kAsked) return verdict;
+  const auto verdict = quotas.Acquire(organisation, amount, ticket, MonotonicMs());
+  if (verdict.decision != QuotaClient::Decision::kPending) return verdict;
   exchange->OnQuotaRequested(ticket);
   AwaitQuotaDecision(exchange, ticket);
   return verdict;
 }
 
-QuotaTaker::Verdict Gateway::Impl::TakeUpstreamQuota(
+QuotaClient::Admission Gateway::Impl::TakeUpstreamQuota(
     const std::shared_ptr<internal::Exchange>& exchange, const std::string& instance) {
   const std::uint64_t ticket = ++last_ticket;
-  const auto verdict = quotas.TakeOfUpstream(instance, ticket, MonotonicMs());
-  if (verdict.decision != QuotaTaker::Decision::kAsked) return verdict;
+  const auto verdict = quotas.AcquireForUpstream(instance, ticket, MonotonicMs());
+  if (verdict.decision != QuotaClient::Decision::kPending) return verdict;
   exchange->OnUpstreamQuotaRequested(ticket, instance);
   AwaitQuotaDecision(exchange, ticket);
   return verdict;
@@ -364,7 +364,7 @@
 }
 
 void Gateway::Impl::SetUpstreamLimit(const std::string& instance, std::optional<double> per_s) {
-  auto outcomes = quotas.LimitUpstream(instance, per_s, MonotonicMs());
+  auto outcomes = quotas.SetUpstreamLimit(instance, per_s, MonotonicMs());
   // Deferred, as this may run within a call from an exchange.
   boost::asio::post(io, [self = shared_from_this(), outcomes = std::move(outcomes)] {
     self->DeliverQuotaOutcomes(outcomes);
@@ -376,13 +376,13 @@
   if (pending_quota_requests.erase(ticket) > 0) quotas.Cancel(ticket);
 }
 
-void Gateway::Impl::DeliverQuotaOutcomes(const std::vector<QuotaTaker::Outcome>& outcomes) {
+void Gateway::Impl::DeliverQuotaOutcomes(const std::vector<QuotaClient::Outcome>& outcomes) {
   for (const auto& it : outcomes) {
     const auto found = pending_quota_requests.find(it.ticket);
     if (found == pending_quota_requests.end()) continue;
     const auto exchange = found->second.lock();
     pending_quota_requests.erase(found);
-    if (exchange) exchange->OnQuotaDecision(it.ticket, it.verdict);
+    if (exchange) exchange->OnQuotaDecision(it.ticket, it.admission);
   }
 }
 
@@ -390,7 +390,7 @@
   if (on_quota_message) {
     for (const auto& it : quotas.TakeMessages(MonotonicMs())) on_quota_message(it);
   }
-  const TimeMs next = quotas.NextAt();
+  const TimeMs next = quotas.NextExpiryAt();
   if (next == 0) return;
   const DurationMs delay = std::max<DurationMs>(1, next - MonotonicMs());
   quota_timer.After(delay, [self = shared_from_this()] {
@@ -517,13 +517,13 @@
 }
 
 void Gateway::OnVmResumed(std::function<void()> call) { impl_->on_vm_resumed = std::move(call); }
-void Gateway::OnUpstreamCrash(std::function<void(const UpstreamEnd&)> call) {
+void Gateway::OnUpstreamCrash(std::function<void(const UpstreamCrash&)> call) {
   impl_->on_upstream_crash = std::move(call);
 }
 void Gateway::OnRequestQuarantined(std::function<void(const RequestDigest&)> call) {
   impl_->on_request_quarantined = std::move(call);
 }
-void Gateway::AddUpstreamCrash(const UpstreamEnd& crash) { impl_->AddUpstreamCrash(crash); }
+void Gateway::AddUpstreamCrash(const UpstreamCrash& crash) { impl_->AddUpstreamCrash(crash); }
 void Gateway::QuarantineRequest(const RequestDigest& digest) {
   impl_->quarantine.Refuse(digest, MonotonicMs());
   impl_->RetrySuspects();
@@ -531,11 +531,11 @@
 bool Gateway::ReleaseRequest(const RequestDigest& digest) {
   return impl_->quarantine.Release(digest, MonotonicMs());
 }
-void Gateway::OnQuotaMessages(std::function<void(const QuotaTaker::Message&)> call) {
+void Gateway::OnQuotaMessages(std::function<void(const QuotaClient::Message&)> call) {
   impl_->on_quota_message = std::move(call);
 }
-void Gateway::SetQuotaAllocators(std::vector<QuotaTaker::Giver> givers) {
-  impl_->quotas.SetGivers(std::move(givers), MonotonicMs());
+void Gateway::SetQuotaAllocators(std::vector<QuotaClient::Allocator> allocators) {
+  impl_->quotas.SetAllocators(std::move(allocators), MonotonicMs());
   impl_->DeliverQuotaOutcomes(impl_->quotas.Expire(MonotonicMs()));
   impl_->SendQuotaMessages();
 }
@@ -543,8 +543,10 @@
   impl_->DeliverQuotaOutcomes(impl_->quotas.OnGrant(grant, MonotonicMs()));
   impl_->SendQuotaMessages();
 }
-void Gateway::OnQuotaLinkClosed(const std::string& instance) { impl_->quotas.OnClosed(instance); }
-const QuotaTaker& Gateway::quotas() const { return impl_->quotas; }
+void Gateway::OnQuotaLinkClosed(const std::string& instance) {
+  impl_->quotas.OnLinkClosed(instance);
+}
+const QuotaClient& Gateway::quotas() const { return impl_->quotas; }
 const QuarantineTable& Gateway::quarantine() const { return impl_->quarantine; }
 
 const GatewayCounters& Gateway::counters() const {
--- a/src/gateway/gateway_impl.h
+++ b/src/gateway/gateway_impl.h
@@ -42,16 +42,16 @@
 
   // Takes from the organisation's quota. If an allocator has to be asked, the exchange is called
   // back.
-  QuotaTaker::Verdict TakeQuota(const std::shared_ptr<internal::Exchange>& exchange,
-                                const std::string& organisation, double amount);
+  QuotaClient::Admission TakeQuota(const std::shared_ptr<internal::Exchange>& exchange,
+                                   const std::string& organisation, double amount);
   // Likewise, from the rate limit of an upstream.
-  QuotaTaker::Verdict TakeUpstreamQuota(const std::shared_ptr<internal::Exchange>& exchange,
-                                        const std::string& instance);
+  QuotaClient::Admission TakeUpstreamQuota(const std::shared_ptr<internal::Exchange>& exchange,
+                                           const std::string& instance);
   void AwaitQuotaDecision(const std::shared_ptr<internal::Exchange>& exchange,
                           std::uint64_t ticket);
   void SetUpstreamLimit(const std::string& instance, std::optional<double> per_s);
   void CancelQuotaRequest(std::uint64_t ticket);
-  void DeliverQuotaOutcomes(const std::vector<QuotaTaker::Outcome>& outcomes);
+  void DeliverQuotaOutcomes(const std::vector<QuotaClient::Outcome>& outcomes);
   void SendQuotaMessages();
 
   // Requests that wait for a model, and the order in which they are retried.
@@ -70,8 +70,8 @@
   void OnUpstreamResponse(const std::string& instance, const internal::UpstreamHead& head,
                           TimeMs sent_at);
 
-  void OnUpstreamCrashed(const UpstreamEnd& crash, std::string_view evidence);
-  void AddUpstreamCrash(const UpstreamEnd& crash);
+  void OnUpstreamCrashed(const UpstreamCrash& crash, std::string_view evidence);
+  void AddUpstreamCrash(const UpstreamCrash& crash);
   void ReportQuarantined();
   // Retries waiting suspects: an upstream without another suspect may be available, or they may be
   // refused now.
@@ -89,13 +89,13 @@
   RetryBudget retry_budget;
   internal::UpstreamPool pool;
   QuarantineTable quarantine;
-  Probation suspect_isolation;
+  SuspectIsolation suspect_isolation;
   internal::CrashDetector crash_detector;
-  QuotaTaker quotas;
+  QuotaClient quotas;
   std::map<std::uint64_t, std::weak_ptr<internal::Exchange>> pending_quota_requests;  // By ticket.
   std::uint64_t last_ticket = 0;
   bool is_quota_send_scheduled = false;
-  std::function<void(const QuotaTaker::Message&)> on_quota_message;
+  std::function<void(const QuotaClient::Message&)> on_quota_message;
   Timer quota_timer;
   TimeMs configuration_confirmed_at = 0;  // 0: never confirmed.
   GatewayCounters counters;
@@ -107,7 +107,7 @@
   std::vector<UpstreamTable::Waiting> refused_waits;
   std::set<std::shared_ptr<internal::CallerConnection>> connections;
   std::function<void(const std::string& instance)> on_new_demand;
-  std::function<void(const UpstreamEnd&)> on_upstream_crash;
+  std::function<void(const UpstreamCrash&)> on_upstream_crash;
   std::function<void(const RequestDigest&)> on_request_quarantined;
   bool is_stopping = false;
   TimeMs stop_started_at = 0;
--- a/test/gateway_keys_test.cc
+++ b/test/gateway_keys_test.cc
@@ -159,15 +159,15 @@
 // The organisation "shop" has a quota; the test replies in place of the allocator.
 struct QuotaFixture : KeysFixture {
   QuotaFixture() {
-    shop.quota.per_s = 10;
+    shop.quota.rate_per_s = 10;
     shop.quota.burst = 10;
     shop.quota.unit = QuotaUnit::kTokens;
-    shop.quota.plain_tokens = 200;
+    shop.quota.default_tokens = 200;
     Configure(2);
-    gateway->OnQuotaMessages([this](const QuotaTaker::Message& it) {
-      if (it.ask.wants.empty()) return;
-      asks.push_back(it.ask);
-      if (answers) Answer(it.ask.number, is_granted);
+    gateway->OnQuotaMessages([this](const QuotaClient::Message& it) {
+      if (it.request.demands.empty()) return;
+      asks.push_back(it.request);
+      if (answers) Answer(it.request.id, is_granted);
     });
     gateway->SetQuotaAllocators({{"u9", "10.0.0.9:1"}});
   }
@@ -178,7 +178,7 @@
     });
   }
 
-  std::vector<QuotaAsk> asks;
+  std::vector<QuotaRequest> asks;
   bool answers = true;
   bool is_granted = true;
 };
@@ -188,11 +188,11 @@
 TEST(GatewayQuotas, CountsTokensOfEachRequestOnce) {
   QuotaFixture fixture;
   EXPECT_TRUE(Contains(fixture.Fetch(MakeRequest("GET /a/", kKey)), "200 OK"), "granted");
-  EXPECT_NUMBER(200, fixture.asks.at(0).wants.at(0).amounts.at(0),
+  EXPECT_NUMBER(200, fixture.asks.at(0).demands.at(0).amounts.at(0),
                 "the default for a request without token usage");
   fixture.Fetch(
       MakeRequest("GET /a/", std::string(kKey) + "Junctionrail-Token-Usage: 1460, 80\r\n"));
-  EXPECT_NUMBER(1540, fixture.asks.at(1).wants.at(0).amounts.at(0), "the sum of both numbers");
+  EXPECT_NUMBER(1540, fixture.asks.at(1).demands.at(0).amounts.at(0), "the sum of both numbers");
 }
 
 TEST(GatewayQuotas, RefusesWithRetryAfterAndDoesNotAskAgain) {
