--- a/src/gateway/exchange_answer.cc
+++ b/src/gateway/exchange_answer.cc
@@ -1,5 +1,4 @@
-// What an exchange does with an upstream's answer, and the answers it gives
-// itself.
+// Relaying an upstream's response, and the exchange's own error responses.
 #include <algorithm>
 #include <utility>
 
@@ -31,7 +30,7 @@
   last_activity_at_ = MonotonicMs();
   gateway_.upstreams.OnResponseData(instance_, last_activity_at_);
   gateway_.crash_detector.OnDataReceived(instance_, last_activity_at_);
-  // Such an answer may be that of another instance at the address.
+  // A 421 may come from another instance at the same address.
   if (head.status != kMisdirectedRequest)
     gateway_.OnUpstreamResponse(instance_, head, attempt_started_at_);
   const HttpHeaderNames& names = gateway_.options.header_names;
@@ -47,12 +46,12 @@
   if (is_success && !is_sealed) {
     call_->Cancel();
     EndAttempt(AttemptOutcome::kFailed);
-    return AfterAttempt(Execution::kMayHaveRun, true, "the answer has no seal");
+    return AfterAttempt(Execution::kMayHaveRun, true, "the response has no proof header");
   }
   ArmTimer();
 }
 
-// The upstream says that it did not run the request.
+// The upstream states that it did not run the request.
 void Exchange::OnUpstreamRefusal(const UpstreamHead& head) {
   const HttpHeaderNames& names = gateway_.options.header_names;
   const TimeMs now = MonotonicMs();
@@ -61,21 +60,21 @@
     const std::string* other = FindField(head.fields, names.instance);
     if (other != nullptr && *other != upstream_wire_id_) {
       gateway_.upstreams.OnInstanceReplaced(instance_);
-      gateway_.crash_detector.OnUpstreamEnded(instance_, "other_instance", now);
-      reason = "another instance has the address";
+      gateway_.crash_detector.OnUpstreamCrashed(instance_, "other_instance", now);
+      reason = "another instance uses the address";
     } else if (model_) {
       gateway_.upstreams.OnModelNotLoaded(instance_, *model_, now);
-      reason = "the model is not loaded there";
-      // It may be the right one again once the model is loaded.
+      reason = "the model is not loaded at the upstream";
+      // It may be chosen again once the model is loaded.
       tried_instances_.pop_back();
     }
   } else if (gateway_.upstreams.IsBackingOff(instance_, now)) {
-    reason = "it asks for a rest";
+    reason = "the upstream asked for a backoff";
     upstream_opens_in_ms_ = gateway_.upstreams.FindThrottle(instance_)->AvailableAt() - now;
-    // It may be the right one again after it.
+    // It may be chosen again after the backoff.
     if (model_) tried_instances_.pop_back();
   } else if (model_ && head.status == kUnavailable) {
-    reason = "full, or an order on the model is under way";
+    reason = "full, or a load or unload of the model is in progress";
   }
   call_->Cancel();
   EndAttempt(AttemptOutcome::kRefused);
@@ -108,7 +107,7 @@
   if (attempt_first_event_at_ == 0) attempt_first_event_at_ = last_event_at_;
   const bool is_harmless =
       last_event_at_ - attempt_first_event_at_ >= QuarantineLimits().harmless_after_ms;
-  if (is_sole_suspect_ && is_harmless) ClearSuspicion();
+  if (is_isolated_suspect_ && is_harmless) ClearSuspicion();
 }
 
 void Exchange::RecordEventPause() {
@@ -117,7 +116,7 @@
   last_event_at_ = now;
 }
 
-// Begins the caller's answer with the head of the upstream's.
+// Begins the response to the caller with the head of the upstream's.
 void Exchange::RelayStreamHead() {
   const auto sink = sink_.lock();
   if (!sink) return;
@@ -148,12 +147,12 @@
 void Exchange::RelayResponse() {
   const unsigned status = response_head_->status;
   const bool is_success = status / 100 == 2;
-  // Such a status would promise that the request did not run; without the
-  // upstream's own word nobody knows that.
-  const bool is_false_promise =
+  // These statuses imply that the request did not run, which is unknown without the upstream's
+  // explicit statement.
+  const bool implies_not_run =
       status == kUnavailable || status == kTooManyRequests || status == kRequestTimeout;
   EndAttempt(status >= 500 ? AttemptOutcome::kFailed : AttemptOutcome::kServed);
-  if (is_false_promise) {
+  if (implies_not_run) {
     return AfterAttempt(Execution::kMayHaveRun, true, "status " + std::to_string(status));
   }
   if (is_response_begun_ && !is_success) {
@@ -168,11 +167,11 @@
   Finish(is_success ? "served" : "passed_failure", status);
 }
 
-// An answer of our own.
+// Sends an error response of the gateway's own.
 void Exchange::Refuse(unsigned status, std::string_view code, std::string_view sentence,
                       Execution ran, DurationMs retry_after_ms) {
   CheckInvariant(ran == Execution::kMayHaveRun || possibly_run_attempts_ == 0,
-                 "a request said not to have run was sent to no upstream that may have run it");
+                 "a request reported as not run was sent to no upstream that may have run it");
   const auto sink = sink_.lock();
   std::vector<HttpHeader> fields;
   if (!request_id_.empty())
