--- a/src/core/agent_grants.cc
+++ b/src/core/agent_grants.cc
@@ -16,9 +16,10 @@
 
 // ---- Grants ----------------------------------------------------------------
 
-// Accepts a grant that an entry presents. A token above all those known when this
-// process started and all those it released was written since then, and only this
-// process or the loss of the VM can have revoked it.
+// Accepts a grant that an entry presents. If its token is higher than all tokens that
+// were known when this process started and all that this process released, the grant
+// was written after the start, and only this process or the loss of the VM can have
+// revoked it.
 bool AgentImpl::AcceptGrant(const GrantView& grant) {
   Replica& replica = FindOrAddReplica(grant.key);
   replica.base = grant.base;
--- a/src/core/agent_replicas.cc
+++ b/src/core/agent_replicas.cc
@@ -137,8 +137,8 @@
 
 // Ensures that no operation of an earlier process can still take effect: an engine
 // that checks fencing tokens is sent a newer one; for other engines the agent waits
-// for the lifetime of operations. In both cases only an inventory requested after
-// that shows every operation that took effect.
+// for the lifetime of operations. In both cases only an inventory that is
+// requested afterwards shows every operation that took effect.
 void AgentImpl::UpdateFence(std::uint64_t query_id) {
   if (engine_fenced_) return;
   if (!options_.upstream_checks_fencing) {
--- a/src/core/agent_requests.cc
+++ b/src/core/agent_requests.cc
@@ -155,8 +155,8 @@
   return static_cast<DurationMs>(ServiceMs(replica) * excess / at_once);
 }
 
-// Refuses queued calls that would be sent too late immediately, rather than at their
-// deadline: calls of higher priority may have arrived since they were admitted.
+// Refuses queued calls that would be sent too late, and does so now rather than at
+// their deadline: calls of higher priority may have arrived since they were admitted.
 // Under load this also keeps the upstream from producing responses that nobody
 // waits for.
 void AgentImpl::RefuseLateQueued(Replica& replica) {
@@ -198,7 +198,8 @@
   if (!is_full) return std::nullopt;
   const Refusal refusal{RefusalCode::kQueueFull, "the queue is full", Ran::kNo,
                         std::max<DurationMs>(wait, kShortRetryMs)};
-  // A call of higher priority replaces the last queued call of lower priority.
+  // A call replaces the last one in the queue if that has a lower priority and at least as
+  // large a body.
   if (replica.queue.empty() || replica.queue.rbegin()->priority >= call.priority) return refusal;
   const auto last = requests_.find(replica.queue.rbegin()->id);
   if (last->second.call.body.size() < call.body.size()) return refusal;
@@ -378,8 +379,9 @@
   }
 }
 
-// Called when the caller or its link is gone, or the deadline has passed. A
-// repeatable call is cancelled; any other runs to its end and its result is kept.
+// Called when the call is cancelled, its link is closed, or the deadline has passed. A
+// queued call is removed. A dispatched one is cancelled if it is repeatable and has no
+// idempotency row; any other runs to its end, and its result is kept if it has a row.
 void AgentImpl::AbandonRequest(AgentRequest& request, std::uint64_t AgentCounters::*counter) {
   if (request.abandoned_counter != nullptr) return;
   const std::string id = request.call.id;
--- a/src/core/entry_grants.cc
+++ b/src/core/entry_grants.cc
@@ -93,7 +93,7 @@
   const std::string key = event.record.key;
   StoreGrant(std::move(event.record));
   const auto placement = placements_.find(key);
-  // An own write ends with its own result, not with the watch event.
+  // A write by this entry ends with its own result, not with the watch event.
   const bool is_writing =
       placement != placements_.end() && (placement->second.state == PlacementState::kWriting ||
                                          placement->second.state == PlacementState::kReading);
--- a/src/core/idle_policy.cc
+++ b/src/core/idle_policy.cc
@@ -7,11 +7,11 @@
 
 constexpr double kMsPerSecond = 1000.0;
 
-// Number of gaps that the prior is worth. Small, so that the replica's own history
+// Weight of the prior, as a number of gaps. Small, so that the replica's own history
 // soon dominates.
 constexpr double kPriorWeight = 2.0;
 
-// Cost of `limit` over the recorded gaps and a prior of gaps that are half of the
+// Cost of `limit` over the recorded gaps and a prior of gaps half as long as the
 // break-even time, in which holding costs as much as a cold start. Without history
 // the best limit is the break-even time itself: the solution of the ski-rental
 // problem, whose cost is at most twice the optimum.
--- a/src/gateway/crash_detector.h
+++ b/src/gateway/crash_detector.h
@@ -22,7 +22,7 @@
 class CrashDetector {
  public:
   // Called when an upstream has ended, with the kind of evidence. The suspects are those of this
-  // entry; `age_ms` of the end is the time since.
+  // entry; `age_ms` of the crash is the time since the upstream ended.
   using CrashCallback = std::function<void(const UpstreamCrash& crash, std::string_view evidence)>;
 
   CrashDetector(boost::asio::io_context& io, QuarantineTable& quarantine, CrashCallback on_crash)
@@ -41,7 +41,7 @@
   // The upstream has ended, by other evidence, or is leaving as planned.
   void OnUpstreamCrashed(const std::string& instance, std::string_view evidence, TimeMs now);
   void OnUpstreamLeaving(const std::string& instance);
-  // Another process saw it end: attempts of this entry in flight there are suspects too.
+  // Another process saw the upstream end: attempts of this entry in flight there are suspects too.
   void OnCrashReported(const UpstreamCrash& crash, TimeMs now);
   void Expire(TimeMs now);
 
@@ -58,7 +58,7 @@
     DurationMs pause_ms = 0;
   };
 
-  // The attempts of this entry that may have caused the end of that name.
+  // The attempts of this entry that may have caused the crash of that name.
   UpstreamCrash CollectSuspects(const std::string& instance, const std::string& name,
                                 TimeMs now) const;
   // Withdraws the pending end, as the upstream has not ended or is leaving. Returns the next one.
--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -254,8 +254,8 @@
 void Exchange::SendRequest(const std::string& instance) {
   const UpstreamRecord* upstream = gateway_.upstreams.Find(instance);
   if (upstream == nullptr) return GiveUp(ExecutionSoFar(), "no_upstream");
-  // For one socket read per attempt, no upstream works for a caller that has already disconnected,
-  // however late this process handles the request.
+  // This costs one socket read per attempt, and prevents an upstream from working for a caller that
+  // has already disconnected, however late this process handles the request.
   const auto sink = sink_.lock();
   if (!sink || sink->HasDisconnected()) return Finish("cancelled", 0);
   CheckInvariant(route_->IsRetryable() || possibly_run_attempts_ == 0,
@@ -512,7 +512,7 @@
     // on.
     const PickResult choice = ChooseUpstream(now);
     const auto* to = std::get_if<SendTo>(&choice);
-    // An upstream with a rate limit may have nothing left of it.
+    // If the upstream has a rate limit, that may be used up.
     const bool is_free = to != nullptr && !gateway_.upstreams.LimitOf(to->instance);
     if (is_free && TakeRetryFromBudget(now)) {
       call_->Cancel();
--- a/src/gateway/exchange_answer.cc
+++ b/src/gateway/exchange_answer.cc
@@ -116,7 +116,7 @@
   last_event_at_ = now;
 }
 
-// Begins the response to the caller with the head of the upstream's.
+// Begins the response to the caller with the head of the upstream's response.
 void Exchange::RelayStreamHead() {
   const auto sink = sink_.lock();
   if (!sink) return;
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -267,8 +267,8 @@
   }
 }
 
-// Handles an end that this entry saw or had suspects in. Digests are truncated to eight digits, so
-// that the log line has room for all likely suspects.
+// Handles a crash that this entry detected or had suspects in. Digests are truncated to eight
+// digits, so that the log line has room for all likely suspects.
 void Gateway::Impl::OnUpstreamCrashed(const UpstreamCrash& crash, std::string_view evidence) {
   constexpr std::size_t kShortDigits = 8;
   ++counters.upstreams_crashed;
--- a/src/listing/expired_record_keeper.cc
+++ b/src/listing/expired_record_keeper.cc
@@ -10,9 +10,9 @@
 // A record expires after this many missed writes. The last write may have come just
 // before the store became unavailable, so an outage of one period less is enough.
 constexpr int kMissedWritesToExpire = 3;
-// Records that expired during an outage are back within about two seconds of the
-// store's return, according to the platform's documentation of upstreams; the upstream
-// of a record that is not has left.
+// Records that expired during an outage are listed again within about two seconds of the
+// store's return, according to the platform's documentation of upstreams. If one is not,
+// its upstream has left.
 constexpr DurationMs kRecoveryMs = 2000;
 
 bool HasInstance(const std::vector<UpstreamRecord>& records, const std::string& instance) {
--- a/src/listing/poll_schedule.cc
+++ b/src/listing/poll_schedule.cc
@@ -8,18 +8,19 @@
 
 // A poll that is not answered within twice the latency of the last answer, but at least
 // 250 ms, is repeated concurrently: a store that usually answers within about 10 ms, or the
-// connection to it, has lost the poll. Answers of a slow store are waited for up to a
-// second; otherwise each poll would cost several calls.
+// connection to it, has lost the poll. A slow store is given up to a second to answer;
+// otherwise each poll would cost several calls.
 constexpr DurationMs kMinRetryDelayMs = 250;
 constexpr DurationMs kMaxRetryDelayMs = 1000;
 constexpr int kRetryDelayFactor = 2;
-// Delays before the third poll and before those after it. Every call to the store has a
-// cost, and an unavailable store has nothing new to tell. Its return must still be
-// noticed soon: expired records have two seconds from then to come back, and upstreams
-// that left receive requests until those are over.
+// Delays before the third poll in a row without an answer, and before each later one. Every
+// call to the store has a cost, and an unavailable store returns no data. Its return must
+// still be noticed soon: expired records have two seconds from then to be listed again, and
+// until these have passed, upstreams that left still receive requests.
 constexpr DurationMs kSecondRetryDelayMs = 500;
 constexpr DurationMs kLaterRetryDelayMs = 600;
-// A gap of more periods than this without a failed poll means that this process stalled.
+// If the last answered poll began more than this many periods before the next one although
+// no poll failed, this process was stalled.
 constexpr int kStallPeriods = 2;
 
 }  // namespace
--- a/src/placement/placement_core.cc
+++ b/src/placement/placement_core.cc
@@ -10,7 +10,7 @@
 namespace {
 
 // An entry's demand expires after this many of its resend intervals without a message: the entry
-// is gone, or will not get through before its requests time out.
+// has ended, or will not reach this process again before its requests time out.
 constexpr double kDemandExpiryPeriods = 2.5;
 // An entry that sent a request for a model within this time may send another before it
 // learns that the model was removed.
@@ -37,7 +37,7 @@
 // timely one, but little is lost if it is delayed further, so callers that can still be served
 // in time come first.
 constexpr double kLateCallerWeight = 0.25;
-// Staging evicts only models with next to no demand: the limit of EvictionCost.
+// Maximum EvictionCost of a model that staging may evict: one with almost no demand.
 constexpr double kMaxStagingEvictionCostMs = 100;
 // Staging does not evict a model that was requested within this time.
 constexpr DurationMs kStagingMinIdleMs = 1500;
@@ -49,8 +49,8 @@
 // The period over which future requests count towards a model's value. Demand shifts within
 // seconds, so it is short.
 constexpr double kDemandHorizonMs = 1000;
-// Time from a request for an evicted model until the model is back, apart from the load: the
-// demand message, two reports and the unload of another model.
+// Time from a request for an evicted model until the model is loaded again, without the load
+// itself: the demand message, two reports and the unload of another model.
 constexpr DurationMs kSwapOverheadMs = 300;
 // Number of adapters that an engine loads at the same time.
 constexpr std::size_t kMaxConcurrentAdapterLoads = 4;
@@ -122,7 +122,7 @@
     is_unloading_ = false;
   }
   if (report_.is_busy && changing_model_.empty()) {
-    // An order by the process that gave orders before this one. Reports do not name it.
+    // An order of the process that gave orders before this process. Reports do not name its model.
     changing_model_ = "unknown";
     changing_since_ = now;
     is_loading_from_store_ = false;
@@ -141,7 +141,7 @@
   UpdateNewWaitRate(now);
 }
 
-// Updates the average rate at which further models begin to have waiting requests.
+// Updates the average rate at which models get a first waiting request.
 void PlacementCore::UpdateNewWaitRate(TimeMs now) {
   std::set<std::string> waited_for;
   for (const auto& [link, it] : demands_) {
@@ -224,11 +224,11 @@
   return demands;
 }
 
-// Returns the number of callers that are served in time if this model is loaded next but not
-// if another is, per millisecond of the load, as the load delays all other models. These are
-// the waiting callers with just enough time left, those that arrive within the horizon, and
-// those that queue at too few replicas. A caller that is late in any case counts for a
-// fraction.
+// Returns the number of callers that are served in time only if this model is loaded next,
+// weighted by priority and divided by the load time in milliseconds, as the load delays all
+// other models. The callers are the waiting ones with just enough time left, those that arrive
+// within the horizon, and those that queue at too few replicas. A caller that is late in any
+// case counts for a fraction.
 double PlacementCore::WeightOf(const CombinedDemand& demand) const {
   const DurationMs swap_ms = EstimateLoadMs(demand.ref.model) + kSwapOverheadMs;
   if (!policy_.in_time_first) return demand.waiting * PriorityWeight(demand.priority);
@@ -384,8 +384,8 @@
 }
 
 // Each entry grants the weight store's capacity by the views it has, and views reach entries at
-// different moments. A majority of the entries decides: when any single one was enough, ten
-// loads began where four were intended.
+// different moments. At least half of the entries must agree: when any single one was enough,
+// ten loads began where four were intended.
 bool PlacementCore::MayLoadFromStore() const {
   const auto n = std::count_if(demands_.begin(), demands_.end(),
                                [](const auto& it) { return it.second.demand.may_load_from_store; });
@@ -450,8 +450,8 @@
   }
   const bool may_interrupt =
       is_waited_for ? demand.age_ms > kInterruptAfterMs : demand.expected_late > 0;
-  // Memory is freed once the waiting callers will have lost as much, by the time the model is
-  // loaded, as the eviction would cost the callers of the evicted model.
+  // A model is evicted once the time that the waiting callers will have lost when their model is
+  // loaded is at least what the eviction costs the callers of the evicted model.
   const DurationMs waited = demand.age_ms + EstimateLoadMs(demand.ref.model) + kSwapOverheadMs;
   const auto lost_ms = static_cast<double>(demand.waiting * waited);
   const double max_cost_ms = (is_waited_for ? lost_ms : demand.expected_late * kDemandHorizonMs) *
--- a/src/quarantine/quarantine_table.cc
+++ b/src/quarantine/quarantine_table.cc
@@ -101,8 +101,9 @@
 
 // A suspect is proven if it was present at a crash with another cause and then was the only
 // isolated suspect at a later one. It counts as the only one if no other entry has reported another
-// within report_window_ms. Three crashes are sufficient regardless of other requests: each further
-// crash interrupts up to 64 unrelated streams, while a wrong refusal affects a single request.
+// isolated suspect within report_window_ms. Three crashes are sufficient regardless of other
+// requests: each further crash interrupts up to 64 unrelated streams, while a wrong refusal affects
+// a single request.
 bool QuarantineTable::IsProven(const RequestDigest& digest, const std::vector<Evidence>& evidence,
                                Proof proof, TimeMs now) const {
   const bool is_final = proof == Proof::kFinal;
@@ -192,8 +193,8 @@
   // report_window_ms has passed. Until then the request is refused, as another attempt would most
   // likely crash another upstream.
   if (IsProven(digest, evidence, Proof::kProvisional, now)) return QuarantineStatus::kRefused;
-  // A request whose response had started is an unlikely cause: none of the recorded ones had. It is
-  // not isolated for a single crash.
+  // A request whose response had started is an unlikely cause: no response to a recorded cause had
+  // started. It is not isolated for a single crash.
   const bool has_repeated = evidence.size() >= kCrashesIfIsolated;
   const bool is_suspect =
       has_repeated || std::any_of(evidence.begin(), evidence.end(),
--- a/src/routing/cold_models.cc
+++ b/src/routing/cold_models.cc
@@ -23,10 +23,11 @@
 constexpr DurationMs kMinOverdueMs = 1000;
 constexpr double kOverdueFactor = 0.5;
 constexpr DurationMs kOverdueAvoidMs = 5000;
-// The penalty meanwhile: more than a load from the weight store at another agent.
+// Added to the estimate of an overdue agent: more than a load from the weight store takes at
+// another agent.
 constexpr DurationMs kOverdueCostMs = 10000;
-// Waiting requests retry the choice four times a second; after this long without one the
-// load request is considered abandoned.
+// Waiting requests retry the choice four times a second; after this long without a retry
+// the load request is considered abandoned.
 constexpr DurationMs kLoadRequestExpiryMs = 1000;
 
 // Whether the engine has the model loaded, or will once the current order is done. In
@@ -116,8 +117,8 @@
 }
 
 // The total time, in milliseconds, that callers of other models wait because the engine
-// executes one order at a time: of the models for which requests start to wait there
-// during the load, each waits half of the load time on average.
+// executes one order at a time. During the load, requests for further models start to wait
+// there; each of these models waits half of the load time on average.
 double UpstreamTable::BlockingCost(const Row& row, const ModelRef& model) const {
   if (!options_.policy.weighs_occupation) return 0;
   const EngineView& view = row.view;
@@ -178,7 +179,8 @@
       estimate -= kKeepLoadTargetMs;
     } else if (best == nullptr || estimate <= best_ms) {
       // The agent evicts a model once the waiting callers have lost as much time as the
-      // callers of that model would: the cost to others is therefore also a delay.
+      // eviction would cost the callers of that model: the cost to others is therefore also
+      // a delay.
       estimate += static_cast<DurationMs>(CostToOthers(*row, *request.model));
     }
     const auto overdue = row->load_overdue_until.find(*request.model);
--- a/src/routing/replicas.cc
+++ b/src/routing/replicas.cc
@@ -43,8 +43,8 @@
 }
 
 // Each entry reports its request rate for a model to every agent that has it loaded, so
-// each of those agents knows the sum. An entry's own rate says too little: scaled to 28
-// entries, a single request would look like six a second.
+// each of those agents knows the sum. An entry's own rate is too inaccurate: scaled to
+// 28 entries, a single request would look like six a second.
 UpstreamTable::RateByModel UpstreamTable::FleetRates(std::string_view service, TimeMs now) const {
   RateByModel rates;
   for (const auto& [instance, row] : rows_) {
--- a/src/routing/upstream_table.cc
+++ b/src/routing/upstream_table.cc
@@ -15,9 +15,9 @@
 // restart, and short compared to the quarter hour that an outage may last.
 constexpr DurationMs kEjectMs = 1000;
 constexpr DurationMs kMaxEjectMs = 8000;
-// An upstream that sends nothing for this long while its agent is silent too is paused,
-// partitioned or gone. Upstreams normally start to answer within some hundred
-// milliseconds, and views arrive twice a second.
+// An upstream that sends nothing for this long while its agent is silent too is suspended,
+// cut off by a network partition, or has ended. Upstreams normally start to answer within
+// some hundred milliseconds, and views arrive twice a second.
 constexpr DurationMs kUnresponsiveMs = 1000;
 // An upstream answered that a model listed by its agent is not loaded; the agent's next
 // view arrives well within this time.
@@ -349,7 +349,7 @@
 }
 
 PickResult UpstreamTable::Choose(const PickRequest& request, TimeMs now) {
-  std::optional<WaitFor> reopening;  // A holder that accepts requests again later.
+  std::optional<WaitFor> reopening;  // Until an upstream with the model accepts requests again.
   if (request.model) {
     const Candidates holders = FindHolders(request, now);
     const PickResult pick = ChooseHolder(request, holders.available, now);
--- a/src/routing/weight_store.cc
+++ b/src/routing/weight_store.cc
@@ -13,8 +13,8 @@
 
 namespace {
 
-// Lower weights count as this, practically none: one caller an hour, six priority levels
-// down.
+// Lower weights count as this, which is practically zero: the weight of one caller an hour
+// whose priority is six levels below the highest.
 constexpr double kMinWeight = 1e-9;
 // The probability that an engine leaves before its models could be loaded elsewhere: the
 // number of departures in this window divided by the number of engines, within these
@@ -27,7 +27,8 @@
 constexpr double kMinAtRiskPerS = 0.05;
 // What one request adds to a rate, which is averaged over five seconds.
 constexpr double kOneRequestPerS = 0.2;
-// One caller counts as much as eight callers of the next lower priority: three doublings.
+// One caller counts as much as eight callers of the next lower priority, which is 2 to the
+// power of this.
 constexpr double kDoublingsPerPriority = 3;
 
 double SmallestMb(const ModelCatalog& models) {
--- a/src/tenancy/quota_allocator.cc
+++ b/src/tenancy/quota_allocator.cc
@@ -10,7 +10,8 @@
 // An entry is live if it has missed at most one heartbeat.
 constexpr DurationMs kMinLivenessMs = 2500;
 constexpr double kLivenessIntervals = 2.5;
-// Time for which a silent entry still counts: it may be partitioned and use its local share.
+// Time for which a silent entry still counts: it may be cut off by a network partition and use its
+// local share.
 constexpr DurationMs kForgetAfterMs = 20000;
 // Interval of Recount(), which also runs when a registration changes.
 constexpr DurationMs kRecountIntervalMs = 100;
@@ -119,8 +120,9 @@
   }
 }
 
-// Entries that are partitioned or registered elsewhere use their fraction of the limit there.
-// Entries that have been silent for kForgetAfterMs are dropped: they have been replaced.
+// Entries that are cut off by a network partition or registered elsewhere use their fraction of the
+// limit there. Entries that have been silent for kForgetAfterMs are dropped: they have been
+// replaced.
 void QuotaAllocator::Recount(TimeMs now) {
   recounted_at_ = now;
   int reported = 0;
--- a/src/tenancy/quota_client.cc
+++ b/src/tenancy/quota_client.cc
@@ -11,22 +11,22 @@
 constexpr DurationMs kAllocatorTimeoutMs = 150;
 // After a timeout, requests do not wait for the allocator for this long.
 constexpr DurationMs kAllocatorBackoffMs = 300;
-// The allocator counts an advance as used, so it expires soon after it was granted.
+// The allocator counts an advance as used, so the credit from it expires soon after the grant.
 constexpr DurationMs kCreditTtlMs = 250;
 // Interval at which registrations are renewed.
 constexpr DurationMs kRegistrationIntervalMs = 1000;
-// Number of agents that may be allocators, which bounds the number of registration messages.
+// Maximum number of agents used as allocators, which bounds the number of registration messages.
 constexpr std::size_t kMaxAllocators = 32;
 constexpr std::string_view kAllocatorHashKey = "quota givers";
 constexpr DurationMs kNoAllocatorRetryMs = 1000;
 constexpr std::size_t kMaxAmountsPerRequest = 256;
-// Time without a higher entry count after which a lower one is adopted.
+// Time since the last entry count that was not lower, after which a lower one is adopted.
 constexpr DurationMs kEntryCountHoldMs = 60000;
 constexpr double kMsPerS = 1000;
-// Assumed where there are no agents, which count the entries.
+// Minimum number of entries assumed where there are no agents to count them.
 constexpr int kDefaultEntryCount = 8;
-// Lower bound for upstream limits: only the response to a request shows that an upstream accepts
-// more again.
+// Lower bound for upstream limits: some requests must still be sent, as only the response to one
+// shows that an upstream accepts more again.
 constexpr double kMinUpstreamRatePerS = 0.05;
 constexpr double kUpstreamBurst = 1;
 
@@ -109,7 +109,8 @@
   return it == upstream_accounts_.end() ? Admission{} : Acquire(it->second, 1, ticket, now);
 }
 
-// A partitioned entry receives low counts although the other entries are still running.
+// An entry cut off by a network partition receives low counts although the other entries are still
+// running.
 void QuotaClient::SetEntryCount(int entry_count, TimeMs now) {
   if (entry_count < entry_count_ && now - entry_count_at_ < kEntryCountHoldMs) return;
   entry_count_ = entry_count;
@@ -194,9 +195,10 @@
 }
 
 // Each entry may use an equal share of the limit once its registration with the last allocator has
-// expired; from then on allocators withhold that share until they forget the entry. An entry that
-// has had no allocator since its start does not know how many entries share the limit, and has no
-// share.
+// expired; from then on allocators withhold that share until they drop the entry, which has then
+// been silent for kForgetAfterMs. An entry that has had no allocator since its start does not know
+// how many entries share the limit. It has no share of an organisation's limit, and for the limit
+// of an upstream it assumes at least kDefaultEntryCount entries.
 QuotaClient::Admission QuotaClient::AcquireLocally(Account* account, double amount,
                                                    TimeMs now) const {
   const Admission refused{Decision::kNoAllocator, kNoAllocatorRetryMs};
@@ -256,7 +258,7 @@
   std::vector<Outcome> outcomes;
   for (const auto& allocation : grant.allocations) {
     const auto it = accounts_.find(allocation.organisation);
-    // The response is late: the allocator counts its grants as used.
+    // A late response is ignored; the allocator counts its grants as used.
     if (it == accounts_.end() || it->second.request_id != grant.id) continue;
     Account& account = it->second;
     account.request_id = 0;
--- a/test/gateway_test.cc
+++ b/test/gateway_test.cc
@@ -150,8 +150,8 @@
 }
 
 TEST(GatewayRetries, WaitsForSilentUpstreamWhenBudgetIsSpent) {
-  // With the retry budget spent, the gateway cancelled requests at slow engines and answered 502
-  // instead of waiting for them.
+  // With the retry budget spent, the gateway cancelled 100 requests at slow engines and answered
+  // 502 instead of waiting for them.
   Fixture fixture({}, {0, 0, 10000});
   Timer timer(fixture.io);
   int calls = 0;
